--- a/crates/gossip/src/belong.rs
+++ b/crates/gossip/src/belong.rs
@@ -5,15 +5,15 @@
 use rand::RngExt;
 use woadhook::Moment;
 
-use crate::instance::{Gossip, What};
-use crate::keys::{Identity, MemberId, Revocation, Ring};
+use crate::instance::{Gossip, EventKind};
+use crate::keys::{Identity, MemberId, Revocation, TrustStore};
 use crate::members::NOBODY;
 use crate::news::About;
-use crate::wire::{Card, Kind};
+use crate::wire::{MemberRecord, DatagramKind};
 
 impl Gossip {
     /// New keys, as read again. A key that is no longer this instance's leaves.
-    pub fn rekey(&mut self, now: Moment, own: Identity, mut ring: Ring) {
+    pub fn rekey(&mut self, now: Moment, own: Identity, mut ring: TrustStore) {
         for known in self.ring.revocations() {
             ring.revoke(known, now);
         }
@@ -24,8 +24,8 @@
             self.strike(&revocation);
         }
         if own.id() != self.own.id() {
-            let left = Card::issue(&self.own, self.address, self.card.incarnation + 1, true);
-            self.news.add(About::Card(left.id), left.bytes);
+            let left = MemberRecord::issue(&self.own, self.address, self.card.incarnation + 1, true);
+            self.news.add(About::MemberRecord(left.id), left.bytes);
             self.members.rename(own.id());
             (self.number, self.word_number, self.probes) = (0, 0, Vec::new());
         }
@@ -33,7 +33,7 @@
         let out: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, m)| !self.ring.fits(&m.card.pass, now, self.pace.tolerance))
+            .filter(|(_, m)| !self.ring.fits(&m.card.pass, now, self.pace.clock_tolerance))
             .collect();
         let out: Vec<(MemberId, String)> =
             out.into_iter().map(|(id, m)| (id, m.card.pass.name.clone())).collect();
@@ -57,19 +57,19 @@
     pub(crate) fn put_out(&mut self, id: MemberId, name: String) {
         self.members.remove(id);
         self.words.forget(id);
-        self.news.forget(&About::Card(id));
-        self.event(What::MemberRevoked, Some(name), None, None);
+        self.news.forget(&About::MemberRecord(id));
+        self.event(EventKind::MemberRevoked, Some(name), None, None);
     }
 
     /// This instance stops: members are told, so that none has to find out.
     pub fn leave(&mut self, now: Moment) {
         self.left = true;
-        self.card = Rc::new(Card::issue(&self.own, self.address, self.card.incarnation + 1, true));
+        self.card = Rc::new(MemberRecord::issue(&self.own, self.address, self.card.incarnation + 1, true));
         let others: Vec<_> = self.members.living().map(|(id, m)| (id, m.card.address)).collect();
         let some = (others.len() + 1).ilog2() as usize + 1;
         for _ in 0..some.min(others.len()) {
             let (id, to) = others[self.chance.random_range(0..others.len())];
-            self.send(now, Kind::Ping, id, to, 0, NOBODY, Vec::new(), 0);
+            self.send(now, DatagramKind::Ping, id, to, 0, NOBODY, Vec::new(), 0);
         }
     }
 }
--- a/crates/gossip/src/hear.rs
+++ b/crates/gossip/src/hear.rs
@@ -6,12 +6,12 @@
 use rand::RngExt;
 use woadhook::Moment;
 
-use crate::instance::{Behind, Do, Errand, Gossip, Probe, What};
+use crate::instance::{Behind, Action, Errand, Gossip, Probe, EventKind};
 use crate::keys::MemberId;
 use crate::members::{self, Change, Charge, LEAST_CREDIT, NOBODY, State, runs_ahead};
 use crate::news::About;
 use crate::wire::{
-    self, Accusation, Card, DATAGRAM, Envelope, Kind, PADDED, Statement, Tag, Tagged, Word, envelope_bytes,
+    self, Accusation, MemberRecord, MAX_DATAGRAM_BYTES, Envelope, DatagramKind, PADDED_PING_BYTES, Item, ItemTag, TaggedItem, Observation, envelope_bytes,
 };
 use crate::words::Refused;
 
@@ -26,7 +26,7 @@
 
 impl Gossip {
     /// A datagram came. Nothing is learned from it before its signature, its sender's pass and its time are found good.
-    pub fn heard(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         let read = Envelope::read(bytes).filter(|envelope| envelope.cluster == self.ring.cluster);
@@ -35,19 +35,19 @@
             self.counts.foreign += 1;
             return;
         };
-        let old = self.pace.tolerance + self.pace.word_lifetime;
-        if envelope.sent > now + self.pace.tolerance || now.since(envelope.sent) > old {
+        let old = self.pace.clock_tolerance + self.pace.observation_lifetime;
+        if envelope.sent > now + self.pace.clock_tolerance || now.since(envelope.sent) > old {
             self.counts.untimely += 1;
             return;
         }
         let Some(card) =
-            Card::read(envelope.card).filter(|card| card.id == envelope.sender && card.id != self.id())
+            MemberRecord::read(envelope.card).filter(|card| card.id == envelope.sender && card.id != self.id())
         else {
             self.counts.foreign += 1;
             return;
         };
-        if !self.ring.fits(&card.pass, now, self.pace.tolerance)
-            || runs_ahead(card.incarnation, now, self.pace.tolerance)
+        if !self.ring.fits(&card.pass, now, self.pace.clock_tolerance)
+            || runs_ahead(card.incarnation, now, self.pace.clock_tolerance)
         {
             self.counts.not_admitted += 1;
             return;
@@ -67,8 +67,8 @@
             self.counts.over_budget += 1;
             return;
         }
-        self.counts.checks += checks as u64;
-        let card_is_good = same_card || (self.ring.believes(&card.pass) && card.is_own_word());
+        self.counts.signature_checks += checks as u64;
+        let card_is_good = same_card || (self.ring.verifies_pass(&card.pass) && card.is_own_word());
         if !card_is_good || !envelope.is_signed_by(&card.pass.key) {
             self.counts.forged += 1;
             return;
@@ -82,7 +82,7 @@
         self.take_card(now, card.clone());
         let Some(member) = self.members.get_mut(card.id) else { return };
         member.window.note(envelope.number);
-        let fresh = now.since(envelope.sent) <= self.pace.tolerance + self.pace.period;
+        let fresh = now.since(envelope.sent) <= self.pace.clock_tolerance + self.pace.period;
         let was_gone = matches!(member.state, State::Gone { .. });
         if fresh && !card.leaving {
             let change = self.members.spoke(now, card.id);
@@ -90,10 +90,10 @@
         }
         self.answer(now, from, &card, &envelope, bytes.len(), was_gone);
         self.compare_views(&envelope);
-        for statement in envelope.statements() {
+        for statement in envelope.items() {
             match statement {
-                Statement::Direct(bytes) if envelope.to == self.own.id() => {
-                    self.todo.push_back(Do::Direct { from: envelope.sender, bytes });
+                Item::Direct(bytes) if envelope.to == self.own.id() => {
+                    self.todo.push_back(Action::DirectMessage { from: envelope.sender, bytes });
                 }
                 statement => self.take_statement(now, at_home, statement),
             }
@@ -102,15 +102,15 @@
 
     /// The sender is behind its own later start, or does not know that it was thought gone: it is shown what is held of it.
     pub(crate) fn remind(
-        &mut self, now: Moment, from: SocketAddr, card: &Card, envelope: &Envelope<'_>, length: usize,
+        &mut self, now: Moment, from: SocketAddr, card: &MemberRecord, envelope: &Envelope<'_>, length: usize,
     ) {
         let Some(member) = self.members.get(card.id) else { return };
-        let newer = vec![(Tag::Card, member.card.bytes.clone())];
-        self.send_within(now, Kind::Ack, card.id, from, envelope.mark(), NOBODY, newer, 0, length);
+        let newer = vec![(ItemTag::MemberRecord, member.card.bytes.clone())];
+        self.send_within(now, DatagramKind::Ack, card.id, from, envelope.mark(), NOBODY, newer, 0, length);
     }
 
     pub(crate) fn answer(
-        &mut self, now: Moment, from: SocketAddr, card: &Card, envelope: &Envelope<'_>, length: usize,
+        &mut self, now: Moment, from: SocketAddr, card: &MemberRecord, envelope: &Envelope<'_>, length: usize,
         was_gone: bool,
     ) {
         let Some(member) = self.members.get_mut(card.id) else { return };
@@ -121,17 +121,17 @@
         if ours && member.card.address == from {
             member.proven = true;
         }
-        let most = if member.proven && member.card.address == from { DATAGRAM } else { length.min(DATAGRAM) };
+        let most = if member.proven && member.card.address == from { MAX_DATAGRAM_BYTES } else { length.min(MAX_DATAGRAM_BYTES) };
         let mut first = Vec::new();
         if was_gone {
             let accusation = Accusation::issue(&self.own, card.id, card.incarnation, now);
-            first.push((Tag::Accusation, accusation.to_bytes().into()));
+            first.push((ItemTag::Accusation, accusation.to_bytes().into()));
         }
         match envelope.kind {
-            Kind::Ping => {
-                self.send_within(now, Kind::Ack, card.id, from, envelope.mark(), NOBODY, first, 0, most);
+            DatagramKind::Ping => {
+                self.send_within(now, DatagramKind::Ack, card.id, from, envelope.mark(), NOBODY, first, 0, most);
             }
-            Kind::Ack => {
+            DatagramKind::Ack => {
                 let re = envelope.re;
                 let about_probe =
                     |probe: &Probe| (probe.mark == re && probe.to == card.id) || probe.helped.contains(&re);
@@ -145,24 +145,24 @@
                         .find(|(_, m)| m.card.address == errand.for_whom)
                         .map(|(id, _)| id);
                     let to = asker.unwrap_or(NOBODY);
-                    self.send(now, Kind::Ack, to, errand.for_whom, errand.re, card.id, Vec::new(), 0);
+                    self.send(now, DatagramKind::Ack, to, errand.for_whom, errand.re, card.id, Vec::new(), 0);
                 }
             }
-            Kind::Ask => {
+            DatagramKind::PingRequest => {
                 let proven = self.members.get(card.id).is_some_and(|m| m.proven && m.card.address == from);
                 let target = self.members.get(envelope.about).map(|m| (m.card.address, m.proven));
                 let Some((to, reached)) = target.filter(|_| proven && self.errands.len() < ERRANDS) else {
                     return;
                 };
-                let fill = if reached { 0 } else { PADDED };
+                let fill = if reached { 0 } else { PADDED_PING_BYTES };
                 let (re, member) = (envelope.mark(), envelope.about);
-                if let Some(mark) = self.send(now, Kind::Ping, member, to, 0, NOBODY, Vec::new(), fill) {
+                if let Some(mark) = self.send(now, DatagramKind::Ping, member, to, 0, NOBODY, Vec::new(), fill) {
                     self.errands.push_back(Errand { mark, for_whom: from, member, re, sent: now });
                 }
             }
-            Kind::Pull => {
+            DatagramKind::Pull => {
                 // An address that is proven gets a few pages at once; any other no more than it sent.
-                let pages = if most == DATAGRAM && self.members.get(card.id).is_some_and(|m| m.proven) {
+                let pages = if most == MAX_DATAGRAM_BYTES && self.members.get(card.id).is_some_and(|m| m.proven) {
                     PAGES
                 } else {
                     1
@@ -171,41 +171,41 @@
                 for _ in 0..pages {
                     let (cards, next) = self.page(cursor, card.id, most);
                     cursor = next;
-                    self.send_within(now, Kind::Page, card.id, from, envelope.mark(), cursor, cards, 0, most);
+                    self.send_within(now, DatagramKind::Page, card.id, from, envelope.mark(), cursor, cards, 0, most);
                     if cursor == NOBODY {
                         break;
                     }
                 }
             }
             // Pages may come out of order: only the end starts over.
-            Kind::Page if envelope.about == NOBODY => self.cursor = NOBODY,
-            Kind::Tell => {}
-            Kind::Page => self.cursor = self.cursor.max(envelope.about),
+            DatagramKind::Page if envelope.about == NOBODY => self.cursor = NOBODY,
+            DatagramKind::Direct => {}
+            DatagramKind::Page => self.cursor = self.cursor.max(envelope.about),
         }
     }
 
     /// As many cards behind an id as fit, and the id to go on from: nobody's at the end of the table.
-    pub(crate) fn page(&self, after: MemberId, but: MemberId, most: usize) -> (Vec<Tagged>, MemberId) {
+    pub(crate) fn page(&self, after: MemberId, but: MemberId, most: usize) -> (Vec<TaggedItem>, MemberId) {
         let mut room = most.saturating_sub(envelope_bytes(self.card.bytes.len()));
         let (mut cards, mut last) = (Vec::new(), after);
         for card in self.members.behind(after).filter(|card| card.id != but) {
-            let length = card.bytes.len() + wire::STATEMENT_HEAD;
+            let length = card.bytes.len() + wire::ITEM_HEAD_BYTES;
             if length > room {
                 return (cards, last);
             }
             room -= length;
             last = card.id;
-            cards.push((Tag::Card, card.bytes.clone()));
+            cards.push((ItemTag::MemberRecord, card.bytes.clone()));
         }
         (cards, NOBODY)
     }
 
     pub(crate) fn compare_views(&mut self, envelope: &Envelope<'_>) {
-        if !matches!(envelope.kind, Kind::Ack | Kind::Page) {
+        if !matches!(envelope.kind, DatagramKind::Ack | DatagramKind::Page) {
             return;
         }
         let (own, theirs) = (self.members.count() as f64, f64::from(envelope.living));
-        self.behind = if envelope.digest == self.view() {
+        self.behind = if envelope.digest == self.view_digest() {
             Behind::Not
         } else if own < theirs * 0.95 - 1.0 {
             Behind::Much
@@ -214,25 +214,25 @@
         };
     }
 
-    pub(crate) fn take_card(&mut self, now: Moment, card: Rc<Card>) -> bool {
+    pub(crate) fn take_card(&mut self, now: Moment, card: Rc<MemberRecord>) -> bool {
         let change = self.members.take(now, card.clone());
         if matches!(change, Change::Nothing | Change::NoRoom) {
             if change == Change::NoRoom {
-                self.event(What::NoRoom, Some(card.pass.name.clone()), None, None);
+                self.event(EventKind::MemberTableFull, Some(card.pass.name.clone()), None, None);
             }
             return false;
         }
         self.tell_change(change, &card);
-        self.news.add(About::Card(card.id), card.bytes.clone());
+        self.news.add(About::MemberRecord(card.id), card.bytes.clone());
         true
     }
 
-    pub(crate) fn tell_change(&mut self, change: Change, card: &Card) {
+    pub(crate) fn tell_change(&mut self, change: Change, card: &MemberRecord) {
         let what = match change {
-            Change::Joined => What::MemberJoined,
-            Change::Back => What::MemberBack,
-            Change::Refuted => What::MemberRefuted,
-            Change::Left => What::MemberLeft,
+            Change::Joined => EventKind::MemberJoined,
+            Change::Back => EventKind::MemberBack,
+            Change::Refuted => EventKind::MemberRefuted,
+            Change::Left => EventKind::MemberLeft,
             Change::Nothing | Change::Renewed | Change::NoRoom => return,
         };
         self.event(what, Some(card.pass.name.clone()), None, None);
@@ -243,22 +243,22 @@
         let bucket = if at_home { &mut self.checks } else { &mut self.strangers };
         let may = bucket.take(now, f64::from(checks));
         if may {
-            self.counts.checks += u64::from(checks);
+            self.counts.signature_checks += u64::from(checks);
         } else {
             self.counts.over_budget += 1;
         }
         may
     }
 
-    pub(crate) fn take_statement(&mut self, now: Moment, at_home: bool, statement: Statement) {
+    pub(crate) fn take_statement(&mut self, now: Moment, at_home: bool, statement: Item) {
         match statement {
-            Statement::Card(card) => self.hear_card(now, at_home, card),
-            Statement::Accusation(accusation) => self.hear_accusation(now, at_home, &accusation),
-            Statement::Word(word) => self.hear_word(now, at_home, &word),
-            Statement::Order(order) => self.hear_order(now, at_home, order),
-            Statement::Notice(notice) => self.hear_notice(now, at_home, notice),
-            Statement::Direct(_) => {}
-            Statement::Revocation(revocation) => {
+            Item::MemberRecord(card) => self.hear_card(now, at_home, card),
+            Item::Accusation(accusation) => self.hear_accusation(now, at_home, &accusation),
+            Item::Observation(word) => self.hear_word(now, at_home, &word),
+            Item::VoterSet(order) => self.hear_order(now, at_home, order),
+            Item::Notice(notice) => self.hear_notice(now, at_home, notice),
+            Item::Direct(_) => {}
+            Item::Revocation(revocation) => {
                 if !self.ring.is_revoked(revocation.member)
                     && revocation.cluster == self.ring.cluster
                     && self.may_check(now, at_home, 1)
@@ -270,13 +270,13 @@
         }
     }
 
-    pub(crate) fn hear_card(&mut self, now: Moment, at_home: bool, card: Card) {
+    pub(crate) fn hear_card(&mut self, now: Moment, at_home: bool, card: MemberRecord) {
         if card.id == self.id() {
             // Own word from before a restart with a clock that was ahead, or a stolen key.
             let ahead = card.incarnation > self.card.incarnation
                 || card.leaving && card.incarnation == self.card.incarnation;
             if ahead
-                && !runs_ahead(card.incarnation, now, self.pace.tolerance)
+                && !runs_ahead(card.incarnation, now, self.pace.clock_tolerance)
                 && self.may_check(now, at_home, 1)
                 && card.is_own_word()
             {
@@ -286,8 +286,8 @@
         }
         let known = self.members.get(card.id);
         if known.is_some_and(|member| member.card.incarnation >= card.incarnation)
-            || !self.ring.fits(&card.pass, now, self.pace.tolerance)
-            || runs_ahead(card.incarnation, now, self.pace.tolerance)
+            || !self.ring.fits(&card.pass, now, self.pace.clock_tolerance)
+            || runs_ahead(card.incarnation, now, self.pace.clock_tolerance)
         {
             return;
         }
@@ -295,7 +295,7 @@
         if !self.may_check(now, at_home, if same_pass { 1 } else { 2 }) {
             return;
         }
-        if (!same_pass && !self.ring.believes(&card.pass)) || !card.is_own_word() {
+        if (!same_pass && !self.ring.verifies_pass(&card.pass)) || !card.is_own_word() {
             self.counts.forged += 1;
             return;
         }
@@ -304,15 +304,15 @@
 
     pub(crate) fn hear_accusation(&mut self, now: Moment, at_home: bool, accusation: &Accusation) {
         let key = self.members.get(accusation.witness).map(|witness| witness.card.pass.key);
-        let stale = accusation.at > now + self.pace.tolerance
-            || now.since(accusation.at) > self.pace.tolerance + self.pace.word_lifetime;
+        let stale = accusation.at > now + self.pace.clock_tolerance
+            || now.since(accusation.at) > self.pace.clock_tolerance + self.pace.observation_lifetime;
         let Some(key) = key.filter(|_| !stale) else { return };
         if accusation.subject == self.id() {
             let open = accusation.incarnation == self.card.incarnation
                 && self.refuted.is_none_or(|at| now.since(at) >= self.pace.period);
             if open && self.may_check(now, at_home, 1) && accusation.is_signed_by(&key) {
                 self.renew(now, 0);
-                self.event(What::Accused, None, None, None);
+                self.event(EventKind::SelfSuspected, None, None, None);
             }
             return;
         }
@@ -336,7 +336,7 @@
         self.news.add(about, accusation.to_bytes().into());
         if charge == Charge::New {
             let name = self.members.get(accusation.subject).map(|member| member.card.pass.name.clone());
-            self.event(What::MemberSuspect, name, None, None);
+            self.event(EventKind::MemberSuspect, name, None, None);
         }
         let chance = (CHECKERS / self.members.count() as f64).min(1.0);
         let waits = self.to_check.contains(&accusation.subject);
@@ -345,19 +345,19 @@
         }
     }
 
-    pub(crate) fn hear_word(&mut self, now: Moment, at_home: bool, word: &Word) {
-        if word.witness == self.id() {
+    pub(crate) fn hear_word(&mut self, now: Moment, at_home: bool, word: &Observation) {
+        if word.reporter == self.id() {
             return;
         }
-        let Some(witness) = self.members.get(word.witness) else { return };
+        let Some(witness) = self.members.get(word.reporter) else { return };
         let (key, who, credit) = (witness.card.pass.key, witness.who, witness.credit());
         let refused = self.words.may_take(now, word);
-        if credit < LEAST_CREDIT || refused.is_err() || runs_ahead(word.incarnation, now, self.pace.tolerance)
+        if credit < LEAST_CREDIT || refused.is_err() || runs_ahead(word.incarnation, now, self.pace.clock_tolerance)
         {
             self.counts.words_refused += u64::from(refused != Err(Refused::Told));
             return;
         }
-        let may = self.members.get_mut(word.witness).is_some_and(|member| member.may_say(now));
+        let may = self.members.get_mut(word.reporter).is_some_and(|member| member.may_say(now));
         if !may || !self.may_check(now, at_home, 1) {
             self.counts.words_refused += 1;
             return;
@@ -368,10 +368,10 @@
         }
         self.counts.words_taken += 1;
         self.words.take(now, word, who);
-        let about = About::Word(word.witness, word.engine.clone(), word.of.clone());
+        let about = About::Observation(word.reporter, word.engine.clone(), word.reservation_type.clone());
         self.news.add(about, word.to_bytes().into());
-        let name = self.members.get(word.witness).map(|member| member.card.pass.name.clone());
-        self.event(What::WordHeard, name, Some(&word.engine), Some(word.seen));
-        self.hearsay(now, &word.engine, word.of.clone());
+        let name = self.members.get(word.reporter).map(|member| member.card.pass.name.clone());
+        self.event(EventKind::ObservationReceived, name, Some(&word.engine), Some(word.condition));
+        self.hearsay(now, &word.engine, word.reservation_type.clone());
     }
 }
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -10,11 +10,11 @@
 
 use crate::budget::Bucket;
 use crate::bytes::Writer;
-use crate::keys::{Identity, MemberId, Order, Revocation, Ring, micros};
+use crate::keys::{Identity, MemberId, VoterSet, Revocation, TrustStore, micros};
 use crate::members::{Members, NOBODY};
 use crate::news::{About, News};
 use crate::observe::Observer;
-use crate::wire::{self, Card, DATAGRAM, Kind, Seen, Tagged, envelope_bytes, seal};
+use crate::wire::{self, MemberRecord, MAX_DATAGRAM_BYTES, DatagramKind, EngineCondition, TaggedItem, envelope_bytes, encode_signed};
 use crate::words::Words;
 
 /// Signatures may be saved up for so long, and datagrams.
@@ -26,26 +26,26 @@
 
 /// How much, how often and how long.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct GossipConfig {
     /// Between two pings.
     pub period: Span,
     /// Datagrams sent a second, at most.
-    pub sends_per_s: f64,
+    pub max_sends_per_s: f64,
     /// Signatures checked a second, at most.
-    pub checks_per_s: f64,
+    pub max_checks_per_s: f64,
     /// Members remembered, at most.
-    pub members: usize,
+    pub max_members: usize,
     /// By how much clocks may differ.
-    pub tolerance: Span,
+    pub clock_tolerance: Span,
     /// How long a word counts.
-    pub word_lifetime: Span,
+    pub observation_lifetime: Span,
     /// How long members that are gone are remembered.
-    pub forget: Span,
+    pub forget_after: Span,
 }
 
 /// What happened, under a stable name for log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum EventKind {
     MemberJoined,
     MemberBack,
     MemberSuspect,
@@ -57,58 +57,58 @@
     MemberDistrusted,
     PassEnded,
     PassEnding,
-    Accused,
-    WordHeard,
-    WordTold,
-    WordContradicted,
-    WordBorneOut,
-    NoRoom,
+    SelfSuspected,
+    ObservationReceived,
+    ObservationSent,
+    ObservationContradicted,
+    ObservationConfirmed,
+    MemberTableFull,
 }
 
-impl What {
+impl EventKind {
     pub fn name(self) -> &'static str {
         match self {
-            What::MemberJoined => "member_joined",
-            What::MemberBack => "member_back",
-            What::MemberSuspect => "member_suspect",
-            What::MemberRefuted => "member_refuted",
-            What::MemberGone => "member_gone",
-            What::MemberLeft => "member_left",
-            What::MemberForgotten => "member_forgotten",
-            What::MemberRevoked => "member_revoked",
-            What::MemberDistrusted => "member_distrusted",
-            What::PassEnded => "pass_ended",
-            What::PassEnding => "pass_ending",
-            What::Accused => "accused",
-            What::WordHeard => "word_heard",
-            What::WordTold => "word_told",
-            What::WordContradicted => "word_contradicted",
-            What::WordBorneOut => "word_borne_out",
-            What::NoRoom => "no_room",
+            EventKind::MemberJoined => "member_joined",
+            EventKind::MemberBack => "member_back",
+            EventKind::MemberSuspect => "member_suspect",
+            EventKind::MemberRefuted => "member_refuted",
+            EventKind::MemberGone => "member_gone",
+            EventKind::MemberLeft => "member_left",
+            EventKind::MemberForgotten => "member_forgotten",
+            EventKind::MemberRevoked => "member_revoked",
+            EventKind::MemberDistrusted => "member_distrusted",
+            EventKind::PassEnded => "pass_ended",
+            EventKind::PassEnding => "pass_ending",
+            EventKind::SelfSuspected => "accused",
+            EventKind::ObservationReceived => "word_heard",
+            EventKind::ObservationSent => "word_told",
+            EventKind::ObservationContradicted => "word_contradicted",
+            EventKind::ObservationConfirmed => "word_borne_out",
+            EventKind::MemberTableFull => "no_room",
         }
     }
 }
 
 /// What the host is to do next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum Action {
     Send {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
     /// Others doubt an engine so far, from 0 (no longer) to [`words::MOST_DOUBT`]; of one type or all.
-    Hearsay {
+    PeerReport {
         engine: String,
-        of: Option<String>,
-        doubt: f64,
+        reservation_type: Option<String>,
+        suspicion: f64,
     },
     /// The operator's order of voters, the latest that was heard.
-    Ordered {
+    VoterSet {
         epoch: u64,
         voters: Vec<MemberId>,
     },
     /// Another member's words for this instance alone.
-    Direct {
+    DirectMessage {
         from: MemberId,
         bytes: Vec<u8>,
     },
@@ -116,27 +116,27 @@
     Notice {
         from: MemberId,
         subject: u8,
-        says: Vec<u8>,
+        payload: Vec<u8>,
     },
     /// Worth a log line. The member is told by name, the engine by its own.
     Event {
-        what: What,
+        kind: EventKind,
         member: Option<String>,
         engine: Option<String>,
-        seen: Option<Seen>,
+        condition: Option<EngineCondition>,
     },
 }
 
 /// What went in and out since the start; only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     pub sent: u64,
     pub sent_bytes: u64,
     /// Not sent for want of budget.
-    pub held_back: u64,
+    pub sends_over_budget: u64,
     pub received: u64,
     pub received_bytes: u64,
-    pub checks: u64,
+    pub signature_checks: u64,
     /// Not of this protocol, version or cluster, or out of form.
     pub foreign: u64,
     /// Clock too far off, or too old.
@@ -174,18 +174,18 @@
 
 pub struct Gossip {
     pub(crate) own: Identity,
-    pub(crate) ring: Ring,
-    pub(crate) card: Rc<Card>,
+    pub(crate) ring: TrustStore,
+    pub(crate) card: Rc<MemberRecord>,
     pub(crate) address: SocketAddr,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) pace: Pace,
+    pub(crate) pace: GossipConfig,
     pub(crate) chance: Pcg32,
     pub(crate) members: Members,
     pub(crate) news: News,
     pub(crate) words: Words,
     pub(crate) observer: Observer,
     /// Emptied as the host pulls; bounded, as each input adds a few at most and the sends are budgeted.
-    pub(crate) todo: VecDeque<Do>,
+    pub(crate) todo: VecDeque<Action>,
     /// Bounded by `PROBES`; emptied by answers and time.
     pub(crate) probes: Vec<Probe>,
     pub(crate) errands: VecDeque<Errand>,
@@ -208,10 +208,10 @@
     pub(crate) strangers: Bucket,
     pub(crate) ending_told: bool,
     pub(crate) left: bool,
-    pub(crate) order: Option<Order>,
+    pub(crate) order: Option<VoterSet>,
     /// The latest number of each voter's notices, by subject; emptied with each order.
     pub(crate) noticed: BTreeMap<(MemberId, u8), u64>,
-    pub(crate) counts: Counts,
+    pub(crate) counts: Counters,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -224,17 +224,17 @@
 impl Gossip {
     /// `address` is where others send to; `seeds` are asked first.
     pub fn new(
-        now: Moment, seed: u64, own: Identity, ring: Ring, address: SocketAddr, seeds: Vec<SocketAddr>,
-        pace: Pace,
+        now: Moment, seed: u64, own: Identity, ring: TrustStore, address: SocketAddr, seeds: Vec<SocketAddr>,
+        pace: GossipConfig,
     ) -> Self {
         let mut chance = Pcg32::seed_from_u64(seed);
-        let card = Rc::new(Card::issue(&own, address, micros(now) / 1000, false));
+        let card = Rc::new(MemberRecord::issue(&own, address, micros(now) / 1000, false));
         let first = pace.period.times(chance.random::<f64>());
         let bucket = |per_s| Bucket::new(now, per_s, BURST);
         let mut new = Self {
-            members: Members::new(own.id(), pace.members),
+            members: Members::new(own.id(), pace.max_members),
             news: News::default(),
-            words: Words::new(pace.word_lifetime, pace.tolerance, TYPES),
+            words: Words::new(pace.observation_lifetime, pace.clock_tolerance, TYPES),
             observer: Observer::default(),
             todo: VecDeque::new(),
             probes: Vec::new(),
@@ -250,14 +250,14 @@
             behind: Behind::Much,
             refuted: None,
             swept: now,
-            sends: bucket(pace.sends_per_s),
-            checks: bucket(pace.checks_per_s * (1.0 - STRANGERS)),
-            strangers: bucket(pace.checks_per_s * STRANGERS),
+            sends: bucket(pace.max_sends_per_s),
+            checks: bucket(pace.max_checks_per_s * (1.0 - STRANGERS)),
+            strangers: bucket(pace.max_checks_per_s * STRANGERS),
             ending_told: false,
             left: false,
             order: None,
             noticed: BTreeMap::new(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             own,
             ring,
             card,
@@ -277,22 +277,22 @@
         self.own.id()
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> Counters {
         self.counts
     }
 
     /// Members that live, this one among them.
-    pub fn living(&self) -> usize {
+    pub fn live_members(&self) -> usize {
         self.members.count()
     }
 
     /// A digest of who lives at which incarnation; equal at instances whose views agree.
-    pub fn view(&self) -> u64 {
+    pub fn view_digest(&self) -> u64 {
         self.members.digest(self.card.incarnation)
     }
 
     /// Names, addresses and incarnations of the others that live.
-    pub fn others(&self) -> impl Iterator<Item = (&str, SocketAddr, u64)> {
+    pub fn live_peers(&self) -> impl Iterator<Item = (&str, SocketAddr, u64)> {
         self.members.living().map(|(_, m)| (m.card.pass.name.as_str(), m.card.address, m.card.incarnation))
     }
 
@@ -302,54 +302,54 @@
     }
 
     /// The own card, for a table that is filled beforehand.
-    pub fn card(&self) -> Rc<Card> {
+    pub fn own_record(&self) -> Rc<MemberRecord> {
         self.card.clone()
     }
 
     /// Fills the table with cards that are known to be good, as from a lasting copy.
-    pub fn know(&mut self, now: Moment, cards: impl Iterator<Item = Rc<Card>>) {
+    pub fn preload_members(&mut self, now: Moment, cards: impl Iterator<Item = Rc<MemberRecord>>) {
         for card in cards {
             self.members.take(now, card);
         }
     }
 
     pub(crate) fn event(
-        &mut self, what: What, member: Option<String>, engine: Option<&str>, seen: Option<Seen>,
+        &mut self, kind: EventKind, member: Option<String>, engine: Option<&str>, condition: Option<EngineCondition>,
     ) {
-        self.todo.push_back(Do::Event { what, member, engine: engine.map(str::to_owned), seen });
+        self.todo.push_back(Action::Event { kind, member, engine: engine.map(str::to_owned), condition });
     }
 
-    pub(crate) fn hearsay(&mut self, now: Moment, engine: &str, of: Option<String>) {
-        let doubt = self.words.doubt(now, engine, of.as_deref(), &self.members);
-        self.todo.push_back(Do::Hearsay { engine: engine.to_owned(), of, doubt });
+    pub(crate) fn hearsay(&mut self, now: Moment, engine: &str, reservation_type: Option<String>) {
+        let suspicion = self.words.doubt(now, engine, reservation_type.as_deref(), &self.members);
+        self.todo.push_back(Action::PeerReport { engine: engine.to_owned(), reservation_type, suspicion });
     }
 
     /// One datagram, filled with news as far as `most` allows; gives its mark if the budget let it out.
     pub(crate) fn send(
-        &mut self, now: Moment, kind: Kind, to: MemberId, at: SocketAddr, re: u64, about: MemberId,
-        first: Vec<Tagged>, fill: usize,
+        &mut self, now: Moment, kind: DatagramKind, to: MemberId, at: SocketAddr, re: u64, about: MemberId,
+        first: Vec<TaggedItem>, fill: usize,
     ) -> Option<u64> {
-        self.send_within(now, kind, to, at, re, about, first, fill, DATAGRAM)
+        self.send_within(now, kind, to, at, re, about, first, fill, MAX_DATAGRAM_BYTES)
     }
 
     pub(crate) fn send_within(
-        &mut self, now: Moment, kind: Kind, to: MemberId, at: SocketAddr, re: u64, about: MemberId,
-        mut first: Vec<Tagged>, fill: usize, most: usize,
+        &mut self, now: Moment, kind: DatagramKind, to: MemberId, at: SocketAddr, re: u64, about: MemberId,
+        mut first: Vec<TaggedItem>, fill: usize, most: usize,
     ) -> Option<u64> {
         let base = envelope_bytes(self.card.bytes.len());
-        let taken: usize = first.iter().map(|(_, bytes)| bytes.len() + wire::STATEMENT_HEAD).sum();
+        let taken: usize = first.iter().map(|(_, bytes)| bytes.len() + wire::ITEM_HEAD_BYTES).sum();
         let room = most.checked_sub(base + taken)?;
         if !self.sends.take(now, 1.0) {
-            self.counts.held_back += 1;
+            self.counts.sends_over_budget += 1;
             return None;
         }
         // A pull is padded so that its page may be as large, not to carry news.
-        if kind != Kind::Pull {
+        if kind != DatagramKind::Pull {
             first.extend(self.news.take(to, room, self.members.count()));
         }
         self.number += 1;
-        let view = (self.members.count().min(u16::MAX.into()) as u16, self.view());
-        let (bytes, mark) = seal(
+        let view = (self.members.count().min(u16::MAX.into()) as u16, self.view_digest());
+        let (bytes, mark) = encode_signed(
             &self.own,
             kind,
             to,
@@ -364,12 +364,12 @@
         );
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.todo.push_back(Do::Send { to: at, bytes });
+        self.todo.push_back(Action::Send { to: at, bytes });
         Some(mark)
     }
 
     pub(crate) fn tell_own_card(&mut self) {
-        self.news.add(About::Card(self.own.id()), self.card.bytes.clone());
+        self.news.add(About::MemberRecord(self.own.id()), self.card.bytes.clone());
     }
 
     pub(crate) fn tell_revocation(&mut self, revocation: &Revocation) {
@@ -381,7 +381,7 @@
     /// Signs a new card, at a higher incarnation.
     pub(crate) fn renew(&mut self, now: Moment, at_least: u64) {
         let incarnation = (self.card.incarnation + 1).max(at_least);
-        self.card = Rc::new(Card::issue(&self.own, self.address, incarnation, self.left));
+        self.card = Rc::new(MemberRecord::issue(&self.own, self.address, incarnation, self.left));
         self.refuted = Some(now);
         self.tell_own_card();
     }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -26,16 +26,16 @@
 
 /// A hash of a cluster's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cluster(pub u64);
+pub struct ClusterId(pub u64);
 
-impl Cluster {
-    pub fn named(name: &str) -> Self {
+impl ClusterId {
+    pub fn from_name(name: &str) -> Self {
         Self(hash(&[b"woadhook cluster 1", name.as_bytes()]))
     }
 }
 
 impl MemberId {
-    pub fn of(key: &[u8; 32]) -> Self {
+    pub fn of_key(key: &[u8; 32]) -> Self {
         Self(hash(&[b"woadhook key 1", key]))
     }
 }
@@ -63,10 +63,10 @@
     Pass,
     Record,
     Accusation,
-    Word,
+    Observation,
     Revocation,
     Envelope,
-    Order,
+    VoterSet,
     Notice,
 }
 
@@ -76,10 +76,10 @@
             Sealed::Pass => b"wdhk pass  1",
             Sealed::Record => b"wdhk recrd 1",
             Sealed::Accusation => b"wdhk accus 1",
-            Sealed::Word => b"wdhk word  1",
+            Sealed::Observation => b"wdhk word  1",
             Sealed::Revocation => b"wdhk revok 1",
             Sealed::Envelope => b"wdhk envlp 1",
-            Sealed::Order => b"wdhk order 1",
+            Sealed::VoterSet => b"wdhk order 1",
             Sealed::Notice => b"wdhk notic 1",
         }
     }
@@ -90,9 +90,9 @@
 }
 
 /// A secret key. It has no `Debug`, and is wiped when dropped.
-pub struct Secret(SigningKey);
+pub struct SecretKey(SigningKey);
 
-impl Secret {
+impl SecretKey {
     /// From 32 random bytes.
     pub fn from_bytes(bytes: &[u8; 32]) -> Self {
         Self(SigningKey::from_bytes(bytes))
@@ -132,7 +132,7 @@
 const REVOCATIONS: &str = "woadhook revoked keys";
 const ORDER: &str = "woadhook order of voters";
 /// The most voters that an order names.
-pub const VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// The bytes behind the first line of a file, which must be the title.
 fn decoded(text: &str, title: &str) -> Result<Vec<u8>, String> {
@@ -145,14 +145,14 @@
 }
 
 /// A public key as the operator file and the command line write it: 64 hex digits.
-pub fn public_from_text(text: &str) -> Result<[u8; 32], String> {
+pub fn public_key_from_text(text: &str) -> Result<[u8; 32], String> {
     let bytes = HEX.decode(text.trim().as_bytes()).ok().and_then(|bytes| <[u8; 32]>::try_from(bytes).ok());
     let bytes = bytes.ok_or_else(|| format!("{text}: allowed are 64 hex digits"))?;
     VerifyingKey::from_bytes(&bytes).map_err(|_| format!("{text}: no ed25519 public key"))?;
     Ok(bytes)
 }
 
-pub fn public_to_text(key: &[u8; 32]) -> String {
+pub fn public_key_to_text(key: &[u8; 32]) -> String {
     HEX.encode(key)
 }
 
@@ -161,7 +161,7 @@
 pub struct Pass {
     pub name: String,
     pub key: [u8; 32],
-    pub cluster: Cluster,
+    pub cluster: ClusterId,
     pub from: Moment,
     pub until: Moment,
     /// The operator key that signed it.
@@ -172,7 +172,7 @@
 impl Pass {
     /// Signs a pass. Names are 1 to 32 printable ASCII bytes.
     pub fn issue(
-        operator: &Secret, name: &str, key: [u8; 32], cluster: Cluster, from: Moment, until: Moment,
+        operator: &SecretKey, name: &str, key: [u8; 32], cluster: ClusterId, from: Moment, until: Moment,
     ) -> Result<Self, String> {
         if !(1..=NAME_BYTES).contains(&name.len()) || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(format!("name {name:?}: allowed are 1 to {NAME_BYTES} printable ASCII characters"));
@@ -180,7 +180,7 @@
         if until <= from {
             return Err("the pass ends before it begins".to_owned());
         }
-        let signer = MemberId::of(&operator.public());
+        let signer = MemberId::of_key(&operator.public());
         let mut pass = Self { name: name.to_owned(), key, cluster, from, until, signer, signature: [0; 64] };
         pass.signature = operator.sign(Sealed::Pass, &pass.body());
         Ok(pass)
@@ -210,7 +210,7 @@
         Some(Self {
             name: String::from_utf8(name.to_vec()).ok()?,
             key: from.array()?,
-            cluster: Cluster(from.u64()?),
+            cluster: ClusterId(from.u64()?),
             from: Moment::from_micros(from.u64()?),
             until: Moment::from_micros(from.u64()?),
             signer: MemberId(from.u64()?),
@@ -232,7 +232,7 @@
     }
 
     pub fn id(&self) -> MemberId {
-        MemberId::of(&self.key)
+        MemberId::of_key(&self.key)
     }
 }
 
@@ -240,7 +240,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Revocation {
     pub member: MemberId,
-    pub cluster: Cluster,
+    pub cluster: ClusterId,
     /// When the last pass of that key ends, and this can be forgotten.
     pub until: Moment,
     pub signer: MemberId,
@@ -248,9 +248,9 @@
 }
 
 impl Revocation {
-    pub fn issue(operator: &Secret, key: &[u8; 32], cluster: Cluster, until: Moment) -> Self {
-        let signer = MemberId::of(&operator.public());
-        let mut revocation = Self { member: MemberId::of(key), cluster, until, signer, signature: [0; 64] };
+    pub fn issue(operator: &SecretKey, key: &[u8; 32], cluster: ClusterId, until: Moment) -> Self {
+        let signer = MemberId::of_key(&operator.public());
+        let mut revocation = Self { member: MemberId::of_key(key), cluster, until, signer, signature: [0; 64] };
         revocation.signature = operator.sign(Sealed::Revocation, &revocation.body());
         revocation
     }
@@ -271,7 +271,7 @@
     pub(crate) fn read(from: &mut Reader<'_>) -> Option<Self> {
         Some(Self {
             member: MemberId(from.u64()?),
-            cluster: Cluster(from.u64()?),
+            cluster: ClusterId(from.u64()?),
             until: Moment::from_micros(from.u64()?),
             signer: MemberId(from.u64()?),
             signature: from.array()?,
@@ -307,32 +307,32 @@
 
 /// The operator's word on who votes, from an epoch on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
-    pub cluster: Cluster,
+pub struct VoterSet {
+    pub cluster: ClusterId,
     /// Grows with each order; one of an earlier epoch says nothing any more.
     pub epoch: u64,
-    /// One to [`VOTERS`], rising.
+    /// One to [`MAX_VOTERS`], rising.
     pub voters: Vec<MemberId>,
     pub signer: MemberId,
     signature: [u8; 64],
 }
 
-impl Order {
+impl VoterSet {
     pub fn issue(
-        operator: &Secret, cluster: Cluster, epoch: u64, voters: &[[u8; 32]],
+        operator: &SecretKey, cluster: ClusterId, epoch: u64, voters: &[[u8; 32]],
     ) -> Result<Self, String> {
-        let mut voters: Vec<MemberId> = voters.iter().map(MemberId::of).collect();
+        let mut voters: Vec<MemberId> = voters.iter().map(MemberId::of_key).collect();
         voters.sort();
         voters.dedup();
-        if !(1..=VOTERS).contains(&voters.len()) {
-            return Err(format!("{} voters given, allowed are 1 to {VOTERS}", voters.len()));
+        if !(1..=MAX_VOTERS).contains(&voters.len()) {
+            return Err(format!("{} voters given, allowed are 1 to {MAX_VOTERS}", voters.len()));
         }
         if epoch == 0 {
             return Err("epoch 0 given, allowed are 1 and more".to_owned());
         }
-        let signer = MemberId::of(&operator.public());
+        let signer = MemberId::of_key(&operator.public());
         let mut new = Self { cluster, epoch, voters, signer, signature: [0; 64] };
-        new.signature = operator.sign(Sealed::Order, &new.body());
+        new.signature = operator.sign(Sealed::VoterSet, &new.body());
         Ok(new)
     }
 
@@ -350,9 +350,9 @@
 
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let mut from = Reader::new(bytes);
-        let (cluster, epoch, signer) = (Cluster(from.u64()?), from.u64()?, MemberId(from.u64()?));
+        let (cluster, epoch, signer) = (ClusterId(from.u64()?), from.u64()?, MemberId(from.u64()?));
         let count = usize::from(from.u8()?);
-        if !(1..=VOTERS).contains(&count) {
+        if !(1..=MAX_VOTERS).contains(&count) {
             return None;
         }
         let voters = (0..count).map(|_| from.u64().map(MemberId)).collect::<Option<Vec<_>>>()?;
@@ -371,21 +371,21 @@
 }
 
 /// Whom an instance believes: the operator's keys of one cluster, and what they revoked.
-pub struct Ring {
-    pub cluster: Cluster,
+pub struct TrustStore {
+    pub cluster: ClusterId,
     operators: Vec<[u8; 32]>,
     /// Emptied as the passes of these keys end.
     revoked: BTreeMap<MemberId, Revocation>,
 }
 
-impl Ring {
+impl TrustStore {
     /// `operators` are public keys; two while the operator's key is changed.
-    pub fn new(cluster: Cluster, operators: Vec<[u8; 32]>) -> Self {
+    pub fn new(cluster: ClusterId, operators: Vec<[u8; 32]>) -> Self {
         Self { cluster, operators, revoked: BTreeMap::new() }
     }
 
     fn signed(&self, signer: MemberId, kind: Sealed, body: &[u8], signature: &[u8; 64]) -> bool {
-        let operator = self.operators.iter().find(|key| MemberId::of(key) == signer);
+        let operator = self.operators.iter().find(|key| MemberId::of_key(key) == signer);
         operator.is_some_and(|key| verify(key, kind, body, signature))
     }
 
@@ -395,16 +395,16 @@
             && now + tolerance >= pass.from
             && now < pass.until + tolerance
             && !self.revoked.contains_key(&pass.id())
-            && self.operators.iter().any(|key| MemberId::of(key) == pass.signer)
+            && self.operators.iter().any(|key| MemberId::of_key(key) == pass.signer)
     }
 
-    pub fn believes(&self, pass: &Pass) -> bool {
+    pub fn verifies_pass(&self, pass: &Pass) -> bool {
         self.signed(pass.signer, Sealed::Pass, &pass.body(), &pass.signature)
     }
 
-    pub fn believes_order(&self, order: &Order) -> bool {
+    pub fn verifies_voter_set(&self, order: &VoterSet) -> bool {
         order.cluster == self.cluster
-            && self.signed(order.signer, Sealed::Order, &order.body(), &order.signature)
+            && self.signed(order.signer, Sealed::VoterSet, &order.body(), &order.signature)
     }
 
     pub fn is_revoked(&self, member: MemberId) -> bool {
@@ -435,20 +435,20 @@
 
 /// An instance's own key and its pass.
 pub struct Identity {
-    pub(crate) secret: Secret,
+    pub(crate) secret: SecretKey,
     pub(crate) pass: Pass,
 }
 
 impl Identity {
     /// Checks that they go together and that the ring believes the pass.
-    pub fn new(secret: Secret, pass: Pass, ring: &Ring, now: Moment) -> Result<Self, String> {
+    pub fn new(secret: SecretKey, pass: Pass, ring: &TrustStore, now: Moment) -> Result<Self, String> {
         if pass.key != secret.public() {
             return Err("the pass is for another key".to_owned());
         }
         if pass.cluster != ring.cluster {
             return Err("the pass is for another cluster".to_owned());
         }
-        if !ring.believes(&pass) {
+        if !ring.verifies_pass(&pass) {
             return Err("the pass is not signed by one of the operator's keys".to_owned());
         }
         if now >= pass.until {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,10 +1,10 @@
 //! Instances find one another and share suspicions about engines, in a world where any of them may lie, lag or vanish.
 //!
-//! The core has no I/O, clock or thread. It is told what came ([`Gossip::heard`]), what this instance met
-//! ([`Gossip::judged`], [`Gossip::ended`], [`Gossip::listed`]) and then gives out what to do, one by one, until there is
-//! nothing ([`Gossip::next`]); [`Gossip::due`] says when it wants to be asked again. Chance comes from a seed.
+//! The core has no I/O, clock or thread. It is told what came ([`Gossip::receive`]), what this instance met
+//! ([`Gossip::engine_judged`], [`Gossip::dispatch_ended`], [`Gossip::set_engines`]) and then gives out what to do, one by one, until there is
+//! nothing ([`Gossip::next_action`]); [`Gossip::next_deadline`] says when it wants to be asked again. Chance comes from a seed.
 //!
-//! What is said here never decides where a job goes: it comes out as [`Do::Hearsay`], a doubt between 0 and 1 on one engine.
+//! What is said here never decides where a job goes: it comes out as [`Action::PeerReport`], a doubt between 0 and 1 on one engine.
 //! `docs/design/gossip.md` tells why it is built so.
 
 mod belong;
@@ -22,5 +22,5 @@
 pub mod wire;
 pub mod words;
 
-pub use crate::instance::{Counts, Do, Gossip, Pace, What};
-pub use crate::wire::Seen;
+pub use crate::instance::{Counters, Action, Gossip, GossipConfig, EventKind};
+pub use crate::wire::EngineCondition;
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -8,7 +8,7 @@
 
 use crate::budget::Bucket;
 use crate::keys::{MemberId, hash, micros};
-use crate::wire::{Accusation, Card};
+use crate::wire::{Accusation, MemberRecord};
 
 /// Witnesses of different names that make a suspect gone without an own failed probe.
 pub const WITNESSES: usize = 3;
@@ -64,7 +64,7 @@
 }
 
 pub struct Member {
-    pub card: Rc<Card>,
+    pub card: Rc<MemberRecord>,
     pub state: State,
     /// The hash of its name: two keys of one name are one witness.
     pub who: u64,
@@ -80,7 +80,7 @@
 }
 
 impl Member {
-    fn new(card: Rc<Card>, now: Moment) -> Self {
+    fn new(card: Rc<MemberRecord>, now: Moment) -> Self {
         Self {
             who: hash(&[b"name", card.pass.name.as_bytes()]),
             card,
@@ -224,7 +224,7 @@
     }
 
     /// Takes in a card that was found believable.
-    pub fn take(&mut self, now: Moment, card: Rc<Card>) -> Change {
+    pub fn take(&mut self, now: Moment, card: Rc<MemberRecord>) -> Change {
         let id = card.id;
         if id == self.own {
             return Change::Nothing;
@@ -361,7 +361,7 @@
     /// and cleared after twice that else; who is gone is forgotten after `forget`.
     pub fn lapse(
         &mut self, now: Moment, suspicion: Span, forget: Span, tolerance: Span,
-    ) -> Vec<(MemberId, Lapse, Rc<Card>)> {
+    ) -> Vec<(MemberId, Lapse, Rc<MemberRecord>)> {
         let due = |member: &Member| match &member.state {
             _ if now > member.card.pass.until + tolerance => Some(Lapse::Ended),
             State::Suspect { since, own, by } => {
@@ -394,7 +394,7 @@
     }
 
     /// Cards of living members behind an id, in the order of ids, and all over from the start when they end there.
-    pub fn behind(&self, cursor: MemberId) -> impl Iterator<Item = &Rc<Card>> {
+    pub fn behind(&self, cursor: MemberId) -> impl Iterator<Item = &Rc<MemberRecord>> {
         let after = self.lines.range((Bound::Excluded(cursor), Bound::Unbounded));
         after.filter(|(_, member)| member.lives()).map(|(_, member)| &member.card)
     }
--- a/crates/gossip/src/news.rs
+++ b/crates/gossip/src/news.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::keys::MemberId;
-use crate::wire::{STATEMENT_HEAD, Tag, Tagged};
+use crate::wire::{ITEM_HEAD_BYTES, ItemTag, TaggedItem};
 
 /// Statements that wait at once; beyond that the most told one goes.
 pub const WAITING: usize = 1024;
@@ -14,27 +14,27 @@
 /// What a statement is about: a newer one about the same takes its place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum About {
-    Card(MemberId),
+    MemberRecord(MemberId),
     /// Subject and witness.
     Accusation(MemberId, MemberId),
     /// Witness, engine and reservation type.
-    Word(MemberId, String, Option<String>),
+    Observation(MemberId, String, Option<String>),
     Revocation(MemberId),
     /// The operator's latest order.
-    Order,
+    VoterSet,
     /// Witness and subject.
     Notice(MemberId, u8),
 }
 
 impl About {
-    fn tag(&self) -> Tag {
+    fn tag(&self) -> ItemTag {
         match self {
-            About::Card(_) => Tag::Card,
-            About::Accusation(..) => Tag::Accusation,
-            About::Word(..) => Tag::Word,
-            About::Revocation(_) => Tag::Revocation,
-            About::Order => Tag::Order,
-            About::Notice(..) => Tag::Notice,
+            About::MemberRecord(_) => ItemTag::MemberRecord,
+            About::Accusation(..) => ItemTag::Accusation,
+            About::Observation(..) => ItemTag::Observation,
+            About::Revocation(_) => ItemTag::Revocation,
+            About::VoterSet => ItemTag::VoterSet,
+            About::Notice(..) => ItemTag::Notice,
         }
     }
 }
@@ -45,7 +45,7 @@
 
 type Place = (u32, u8, std::cmp::Reverse<u64>, About);
 
-struct Item {
+struct QueuedItem {
     bytes: Rc<[u8]>,
     told: u32,
     order: u64,
@@ -54,7 +54,7 @@
 /// Emptied by telling.
 #[derive(Default)]
 pub struct News {
-    items: BTreeMap<About, Item>,
+    items: BTreeMap<About, QueuedItem>,
     /// The same by how often told, the newest first among equals.
     queue: BTreeSet<Place>,
     order: u64,
@@ -69,7 +69,7 @@
             self.forget(&most_told);
         }
         self.order += 1;
-        let item = Item { bytes, told: 0, order: self.order };
+        let item = QueuedItem { bytes, told: 0, order: self.order };
         self.queue.insert(place(&item, about.clone()));
         self.items.insert(about, item);
     }
@@ -90,23 +90,23 @@
 
     /// Statements for a datagram to `to` with so much room. What is about the receiver goes first, so that it can
     /// refute it; what is its own word is left out.
-    pub fn take(&mut self, to: MemberId, mut room: usize, members: usize) -> Vec<Tagged> {
+    pub fn take(&mut self, to: MemberId, mut room: usize, members: usize) -> Vec<TaggedItem> {
         let most = (ROUNDS * ((members + 1) as f64).log2()).ceil().max(1.0) as u32;
         let mut taken = Vec::new();
         let first = About::Accusation(to, MemberId(0))..=About::Accusation(to, MemberId(u64::MAX));
         let first = self.items.range(first).map(|(about, _)| about.clone()).take(2);
         let rest = self.queue.iter().map(|(.., about)| about).filter(|about| match about {
-            About::Card(id) => *id != to,
+            About::MemberRecord(id) => *id != to,
             About::Accusation(subject, witness) => *subject != to && *witness != to,
-            About::Word(witness, ..) => *witness != to,
+            About::Observation(witness, ..) => *witness != to,
             About::Notice(witness, _) => *witness != to,
-            About::Revocation(_) | About::Order => true,
+            About::Revocation(_) | About::VoterSet => true,
         });
         // A look past what is too long for the room is kept short.
         let order: Vec<About> = first.chain(rest.take(24).cloned()).collect();
         for about in order {
             let Some(item) = self.items.get_mut(&about) else { continue };
-            let length = item.bytes.len() + STATEMENT_HEAD;
+            let length = item.bytes.len() + ITEM_HEAD_BYTES;
             if length > room {
                 continue;
             }
@@ -124,8 +124,8 @@
     }
 }
 
-fn place(item: &Item, about: About) -> Place {
-    let of_members = matches!(about, About::Card(_) | About::Accusation(..));
+fn place(item: &QueuedItem, about: About) -> Place {
+    let of_members = matches!(about, About::MemberRecord(_) | About::Accusation(..));
     let told = if of_members { item.told } else { item.told / WORDS_FIRST };
     (told, u8::from(of_members), std::cmp::Reverse(item.order), about)
 }
--- a/crates/gossip/src/observe.rs
+++ b/crates/gossip/src/observe.rs
@@ -4,7 +4,7 @@
 
 use woadhook::{Moment, Outcome, Span};
 
-use crate::wire::Seen;
+use crate::wire::EngineCondition;
 
 /// Ends that are looked back on, and how many of them must be bad before anything is said.
 const LOOK_BACK: u32 = 8;
@@ -36,7 +36,7 @@
 /// A claim that was told and still holds, and when it was last told.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
-    seen: Seen,
+    seen: EngineCondition,
     told: Moment,
     /// When it was last borne out.
     borne_out: Moment,
@@ -58,7 +58,7 @@
 pub struct Say {
     pub engine: String,
     pub of: Option<String>,
-    pub seen: Seen,
+    pub seen: EngineCondition,
     pub sure: u8,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// The decision module set an engine aside, or has it back.
-    pub fn judged(&mut self, now: Moment, engine: &str, seen: Seen) -> Option<Say> {
+    pub fn judged(&mut self, now: Moment, engine: &str, seen: EngineCondition) -> Option<Say> {
         let own = self.engines.get_mut(engine)?;
         claim(own, now, engine, None, seen, u8::MAX)
     }
@@ -88,10 +88,10 @@
             own.turned_away.add(outcome == Outcome::TurnedAway);
             let (ends, told) = (own.turned_away, own.claims.get(&None).map(|claim| claim.seen));
             if ends.is_good() {
-                let over = told == Some(Seen::Refusing);
-                says.extend(over.then(|| claim(own, now, engine, None, Seen::Well, u8::MAX)).flatten());
+                let over = told == Some(EngineCondition::Refusing);
+                says.extend(over.then(|| claim(own, now, engine, None, EngineCondition::Well, u8::MAX)).flatten());
             } else if ends.is_bad() {
-                says.extend(claim(own, now, engine, None, Seen::Refusing, sure(ends)));
+                says.extend(claim(own, now, engine, None, EngineCondition::Refusing, sure(ends)));
             }
         }
         if matches!(outcome, Outcome::Done | Outcome::Error) {
@@ -100,9 +100,9 @@
             let ends = *ends;
             let kind = Some(of.to_owned());
             if ends.is_good() {
-                says.extend(claim(own, now, engine, kind, Seen::Well, u8::MAX));
+                says.extend(claim(own, now, engine, kind, EngineCondition::Well, u8::MAX));
             } else if ends.is_bad() {
-                says.extend(claim(own, now, engine, kind, Seen::Failing, sure(ends)));
+                says.extend(claim(own, now, engine, kind, EngineCondition::Failing, sure(ends)));
             }
         }
         says
@@ -113,7 +113,7 @@
     pub fn repeat(&mut self, now: Moment, every: Span) -> Vec<Say> {
         let mut says = Vec::new();
         for (engine, own) in &mut self.engines {
-            let judged = |claim: &Claim| matches!(claim.seen, Seen::Silent | Seen::Reset);
+            let judged = |claim: &Claim| matches!(claim.seen, EngineCondition::Silent | EngineCondition::Reset);
             own.claims.retain(|_, claim| judged(claim) || now.since(claim.borne_out) < every);
             for (of, claim) in own.claims.iter_mut().filter(|(_, claim)| now.since(claim.told) >= every) {
                 claim.told = now;
@@ -129,15 +129,15 @@
 }
 
 /// What is to be said of a claim, if it is not what was said before.
-fn claim(own: &mut Own, now: Moment, engine: &str, of: Option<String>, seen: Seen, sure: u8) -> Option<Say> {
+fn claim(own: &mut Own, now: Moment, engine: &str, of: Option<String>, seen: EngineCondition, sure: u8) -> Option<Say> {
     let before = own.claims.get_mut(&of).map(|claim| {
         claim.borne_out = now;
         claim.seen
     });
-    if before == Some(seen) || (before.is_none() && seen == Seen::Well) {
+    if before == Some(seen) || (before.is_none() && seen == EngineCondition::Well) {
         return None;
     }
-    if seen == Seen::Well {
+    if seen == EngineCondition::Well {
         own.claims.remove(&of);
     } else {
         own.claims.insert(of.clone(), Claim { seen, told: now, borne_out: now, sure });
--- a/crates/gossip/src/own.rs
+++ b/crates/gossip/src/own.rs
@@ -2,12 +2,12 @@
 
 use woadhook::{Moment, Outcome};
 
-use crate::instance::{Gossip, What};
+use crate::instance::{Gossip, EventKind};
 use crate::keys::MemberId;
 use crate::members::LEAST_CREDIT;
 use crate::news::About;
 use crate::observe::Say;
-use crate::wire::{self, Seen, Word};
+use crate::wire::{self, EngineCondition, Observation};
 
 /// Credit that comes back for a word borne out.
 const BORNE_OUT: f64 = 0.25;
@@ -16,18 +16,18 @@
 
 impl Gossip {
     /// The own list of engines, each with when it came up (zero where the list does not say).
-    pub fn listed(&mut self, engines: &[(String, Moment)]) {
+    pub fn set_engines(&mut self, engines: &[(String, Moment)]) {
         self.words.listed(engines.iter().cloned());
         self.observer.listed(engines.iter().map(|(name, _)| name.as_str()));
     }
 
     /// The decision module set an engine aside (silent, reset) or has it back (well).
-    pub fn judged(&mut self, now: Moment, engine: &str, seen: Seen) {
+    pub fn engine_judged(&mut self, now: Moment, engine: &str, seen: EngineCondition) {
         if let Some(say) = self.observer.judged(now, engine, seen) {
             self.say(now, say);
         }
-        if seen != Seen::Well {
-            let doubts = |seen| matches!(seen, Seen::Silent | Seen::Reset);
+        if seen != EngineCondition::Well {
+            let doubts = |seen| matches!(seen, EngineCondition::Silent | EngineCondition::Reset);
             for witness in self.words.settled(engine, None, doubts) {
                 self.settle(witness, engine, true);
             }
@@ -35,7 +35,7 @@
     }
 
     /// A dispatch of such a type ended at an engine.
-    pub fn ended(&mut self, now: Moment, engine: &str, of: &str, outcome: Outcome) {
+    pub fn dispatch_ended(&mut self, now: Moment, engine: &str, of: &str, outcome: Outcome) {
         for say in self.observer.ended(now, engine, of, outcome) {
             self.say(now, say);
         }
@@ -46,7 +46,7 @@
     }
 
     /// An engine answered a probe.
-    pub fn answered(&mut self, now: Moment, engine: &str) {
+    pub fn probe_answered(&mut self, now: Moment, engine: &str) {
         self.well(now, engine, None);
     }
 
@@ -72,10 +72,10 @@
         }
         let after = member.credit();
         let name = member.card.pass.name.clone();
-        let what = if borne_out { What::WordBorneOut } else { What::WordContradicted };
+        let what = if borne_out { EventKind::ObservationConfirmed } else { EventKind::ObservationContradicted };
         self.event(what, Some(name.clone()), Some(engine), None);
         if before >= LEAST_CREDIT && after < LEAST_CREDIT {
-            self.event(What::MemberDistrusted, Some(name), None, None);
+            self.event(EventKind::MemberDistrusted, Some(name), None, None);
         }
     }
 
@@ -92,8 +92,8 @@
         let came_up = self.words.came_up(&engine).unwrap_or_default();
         let (incarnation, number) = (self.card.incarnation, self.word_number);
         let word =
-            Word::issue(&self.own, incarnation, number, now, &engine, came_up, seen, of.as_deref(), sure);
-        self.news.add(About::Word(self.own.id(), engine.clone(), of), word.to_bytes().into());
-        self.event(What::WordTold, None, Some(&engine), Some(seen));
+            Observation::issue(&self.own, incarnation, number, now, &engine, came_up, seen, of.as_deref(), sure);
+        self.news.add(About::Observation(self.own.id(), engine.clone(), of), word.to_bytes().into());
+        self.event(EventKind::ObservationSent, None, Some(&engine), Some(seen));
     }
 }
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -6,11 +6,11 @@
 use rand::seq::SliceRandom;
 use woadhook::Moment;
 
-use crate::instance::{Behind, Do, Gossip, Probe, What};
+use crate::instance::{Behind, Action, Gossip, Probe, EventKind};
 use crate::keys::MemberId;
 use crate::members::{Charge, Lapse, NOBODY, State};
 use crate::news::About;
-use crate::wire::{Accusation, DATAGRAM, Kind, PADDED};
+use crate::wire::{Accusation, MAX_DATAGRAM_BYTES, DatagramKind, PADDED_PING_BYTES};
 
 /// Others that are asked to ping a member that did not answer.
 const HELPERS: usize = 3;
@@ -30,8 +30,8 @@
 const REGAIN: f64 = 0.02;
 
 impl Gossip {
-    /// When [`next`](Self::next) is to be asked again, if nothing comes in.
-    pub fn due(&self) -> Option<Moment> {
+    /// When [`next_action`](Self::next_action) is to be asked again, if nothing comes in.
+    pub fn next_deadline(&self) -> Option<Moment> {
         if self.left {
             return None;
         }
@@ -41,7 +41,7 @@
         half.chain(pull).chain([self.next_period]).min()
     }
 
-    pub fn next(&mut self, now: Moment) -> Option<Do> {
+    pub fn next_action(&mut self, now: Moment) -> Option<Action> {
         if !self.left {
             self.pass_time(now);
         }
@@ -100,7 +100,7 @@
         if self.behind == Behind::Little && self.periods.is_multiple_of(CALM_PULLS) {
             self.pull(now);
         }
-        for say in self.observer.repeat(now, self.pace.word_lifetime.times(0.5)) {
+        for say in self.observer.repeat(now, self.pace.observation_lifetime.times(0.5)) {
             self.say(now, say);
         }
     }
@@ -108,15 +108,15 @@
     pub(crate) fn sweep(&mut self, now: Moment) {
         let suspicion =
             self.pace.period.times(SUSPICION_PERIODS + (self.members.count() as f64 + 1.0).log2());
-        let part = now.since(self.swept).secs() / self.pace.word_lifetime.secs().max(1e-3);
+        let part = now.since(self.swept).secs() / self.pace.observation_lifetime.secs().max(1e-3);
         self.members.regain_all(REGAIN * part);
         self.swept = now;
-        for (id, lapse, card) in self.members.lapse(now, suspicion, self.pace.forget, self.pace.tolerance) {
+        for (id, lapse, card) in self.members.lapse(now, suspicion, self.pace.forget_after, self.pace.clock_tolerance) {
             let what = match lapse {
-                Lapse::Gone => What::MemberGone,
-                Lapse::Cleared => What::MemberRefuted,
-                Lapse::Forgotten => What::MemberForgotten,
-                Lapse::Ended => What::PassEnded,
+                Lapse::Gone => EventKind::MemberGone,
+                Lapse::Cleared => EventKind::MemberRefuted,
+                Lapse::Forgotten => EventKind::MemberForgotten,
+                Lapse::Ended => EventKind::PassEnded,
             };
             if matches!(lapse, Lapse::Forgotten | Lapse::Ended) {
                 self.words.forget(id);
@@ -128,7 +128,7 @@
         let lasts = self.own.until().since(self.own.pass.from).secs();
         if !self.ending_told && self.own.until().since(now).secs() < lasts * 0.1 {
             self.ending_told = true;
-            self.event(What::PassEnding, Some(self.own.name().to_owned()), None, None);
+            self.event(EventKind::PassEnding, Some(self.own.name().to_owned()), None, None);
         }
     }
 
@@ -150,8 +150,8 @@
         if self.probes.len() >= PROBES || self.probes.iter().any(|probe| probe.to == id) {
             return;
         }
-        let (to, fill) = (member.card.address, if member.proven { 0 } else { PADDED });
-        if let Some(mark) = self.send(now, Kind::Ping, id, to, 0, NOBODY, Vec::new(), fill) {
+        let (to, fill) = (member.card.address, if member.proven { 0 } else { PADDED_PING_BYTES });
+        if let Some(mark) = self.send(now, DatagramKind::Ping, id, to, 0, NOBODY, Vec::new(), fill) {
             self.probes.push(Probe { to: id, mark, sent: now, helped: Vec::new(), asked: false });
         }
     }
@@ -165,7 +165,7 @@
             .collect();
         for _ in 0..HELPERS.min(others.len()) {
             let (id, to) = others[self.chance.random_range(0..others.len())];
-            let asked = self.send(now, Kind::Ask, id, to, 0, about, Vec::new(), 0);
+            let asked = self.send(now, DatagramKind::PingRequest, id, to, 0, about, Vec::new(), 0);
             if let Some(probe) = self.probes.iter_mut().find(|probe| probe.mark == mark) {
                 probe.helped.extend(asked);
             }
@@ -183,7 +183,7 @@
         let accusation = Accusation::issue(&self.own, id, member.card.incarnation, now);
         self.news.add(About::Accusation(id, self.own.id()), accusation.to_bytes().into());
         if charge == Charge::New {
-            self.event(What::MemberSuspect, Some(name), None, None);
+            self.event(EventKind::MemberSuspect, Some(name), None, None);
         }
     }
 
@@ -198,7 +198,7 @@
         places.extend(self.seeds.iter().filter(|at| !known(at)).map(|at| (NOBODY, *at)));
         if !places.is_empty() {
             let (id, to) = places[self.chance.random_range(0..places.len())];
-            self.send(now, Kind::Ping, id, to, 0, NOBODY, Vec::new(), PADDED);
+            self.send(now, DatagramKind::Ping, id, to, 0, NOBODY, Vec::new(), PADDED_PING_BYTES);
         }
     }
 
@@ -210,6 +210,6 @@
         }
         let (id, to) = others[self.chance.random_range(0..others.len())];
         let cursor = self.cursor;
-        self.send(now, Kind::Pull, id, to, 0, cursor, Vec::new(), DATAGRAM);
+        self.send(now, DatagramKind::Pull, id, to, 0, cursor, Vec::new(), MAX_DATAGRAM_BYTES);
     }
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -7,12 +7,12 @@
 use woadhook::Moment;
 
 use crate::bytes::{Reader, Writer};
-use crate::keys::{Cluster, Identity, MemberId, Order, Pass, Revocation, Sealed, micros, verify};
+use crate::keys::{ClusterId, Identity, MemberId, VoterSet, Pass, Revocation, Sealed, micros, verify};
 
 /// The largest datagram, in bytes: fits the least MTU of IPv6 with room for tunnels.
-pub const DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// What a ping to an address that proved nothing yet is filled up to, so that any answer fits into as much.
-pub const PADDED: usize = 640;
+pub const PADDED_PING_BYTES: usize = 640;
 /// The longest name of an engine and of a reservation type in a word, in bytes.
 pub const ENGINE_BYTES: usize = 64;
 pub const TYPE_BYTES: usize = 32;
@@ -21,22 +21,22 @@
 
 /// What a datagram asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum DatagramKind {
     /// Answer with an ack.
     Ping,
     Ack,
     /// Ping the member `about` and tell me if it answers.
-    Ask,
+    PingRequest,
     /// Send cards of living members behind `about`.
     Pull,
     Page,
     /// Words for the receiver alone; nothing is answered.
-    Tell,
+    Direct,
 }
 
-impl Kind {
+impl DatagramKind {
     fn from(byte: u8) -> Option<Self> {
-        [Kind::Ping, Kind::Ack, Kind::Ask, Kind::Pull, Kind::Page, Kind::Tell]
+        [DatagramKind::Ping, DatagramKind::Ack, DatagramKind::PingRequest, DatagramKind::Pull, DatagramKind::Page, DatagramKind::Direct]
             .into_iter()
             .find(|kind| *kind as u8 == byte)
     }
@@ -44,7 +44,7 @@
 
 /// A member as it tells of itself: its pass, and a record that it signed.
 #[derive(Clone, Debug)]
-pub struct Card {
+pub struct MemberRecord {
     pub pass: Pass,
     pub id: MemberId,
     pub address: SocketAddr,
@@ -56,7 +56,7 @@
     pub bytes: Rc<[u8]>,
 }
 
-impl Card {
+impl MemberRecord {
     pub fn issue(own: &Identity, address: SocketAddr, incarnation: u64, leaving: bool) -> Self {
         let record = record(own.id(), address, incarnation, leaving);
         let signature = own.secret.sign(Sealed::Record, &record);
@@ -160,7 +160,7 @@
 
 /// What was seen of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Seen {
+pub enum EngineCondition {
     /// It gave no word while work was out there, or left probes unanswered.
     Silent = 1,
     /// Connections were reset or refused.
@@ -173,9 +173,9 @@
     Well = 5,
 }
 
-impl Seen {
+impl EngineCondition {
     fn from(byte: u8) -> Option<Self> {
-        [Seen::Silent, Seen::Reset, Seen::Refusing, Seen::Failing, Seen::Well]
+        [EngineCondition::Silent, EngineCondition::Reset, EngineCondition::Refusing, EngineCondition::Failing, EngineCondition::Well]
             .into_iter()
             .find(|seen| *seen as u8 == byte)
     }
@@ -183,19 +183,19 @@
     /// Its stable name in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Seen::Silent => "silent",
-            Seen::Reset => "reset",
-            Seen::Refusing => "refusing",
-            Seen::Failing => "failing",
-            Seen::Well => "well",
+            EngineCondition::Silent => "silent",
+            EngineCondition::Reset => "reset",
+            EngineCondition::Refusing => "refusing",
+            EngineCondition::Failing => "failing",
+            EngineCondition::Well => "well",
         }
     }
 }
 
 /// A member's signed word on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word {
-    pub witness: MemberId,
+pub struct Observation {
+    pub reporter: MemberId,
     /// The witness's incarnation when it said so, and a number that grows with each of its words.
     pub incarnation: u64,
     pub number: u64,
@@ -203,36 +203,36 @@
     pub engine: String,
     /// When the engine came up, as the witness's list has it; zero if it does not say.
     pub came_up: Moment,
-    pub seen: Seen,
+    pub condition: EngineCondition,
     /// The reservation type, where it is about one.
-    pub of: Option<String>,
+    pub reservation_type: Option<String>,
     /// How sure the witness is, in 255ths.
-    pub sure: u8,
+    pub confidence: u8,
     signature: [u8; 64],
 }
 
-impl Word {
+impl Observation {
     pub fn issue(
-        own: &Identity, incarnation: u64, number: u64, at: Moment, engine: &str, came_up: Moment, seen: Seen,
-        of: Option<&str>, sure: u8,
+        own: &Identity, incarnation: u64, number: u64, at: Moment, engine: &str, came_up: Moment, condition: EngineCondition,
+        reservation_type: Option<&str>, confidence: u8,
     ) -> Self {
-        let (engine, of) = (engine.to_owned(), of.map(str::to_owned));
-        let witness = own.id();
+        let (engine, reservation_type) = (engine.to_owned(), reservation_type.map(str::to_owned));
+        let reporter = own.id();
         let signature = [0; 64];
-        let mut new = Self { witness, incarnation, number, at, engine, came_up, seen, of, sure, signature };
-        new.signature = own.secret.sign(Sealed::Word, &new.body());
+        let mut new = Self { reporter, incarnation, number, at, engine, came_up, condition, reservation_type, confidence, signature };
+        new.signature = own.secret.sign(Sealed::Observation, &new.body());
         new
     }
 
     fn body(&self) -> Vec<u8> {
         let mut out = Writer::default();
-        for part in [self.witness.0, self.incarnation, self.number, micros(self.at), micros(self.came_up)] {
+        for part in [self.reporter.0, self.incarnation, self.number, micros(self.at), micros(self.came_up)] {
             out.u64(part);
         }
         out.short(self.engine.as_bytes());
-        out.u8(self.seen as u8);
-        out.short(self.of.as_deref().unwrap_or_default().as_bytes());
-        out.u8(self.sure);
+        out.u8(self.condition as u8);
+        out.short(self.reservation_type.as_deref().unwrap_or_default().as_bytes());
+        out.u8(self.confidence);
         out.into_bytes()
     }
 
@@ -244,22 +244,22 @@
         let mut from = Reader::new(bytes);
         let text = |bytes: &[u8]| std::str::from_utf8(bytes).ok().map(str::to_owned);
         let read = Self {
-            witness: MemberId(from.u64()?),
+            reporter: MemberId(from.u64()?),
             incarnation: from.u64()?,
             number: from.u64()?,
             at: Moment::from_micros(from.u64()?),
             came_up: Moment::from_micros(from.u64()?),
             engine: text(from.short(ENGINE_BYTES)?)?,
-            seen: Seen::from(from.u8()?)?,
-            of: Some(text(from.short(TYPE_BYTES)?)?).filter(|of| !of.is_empty()),
-            sure: from.u8()?,
+            condition: EngineCondition::from(from.u8()?)?,
+            reservation_type: Some(text(from.short(TYPE_BYTES)?)?).filter(|of| !of.is_empty()),
+            confidence: from.u8()?,
             signature: from.array()?,
         };
         from.is_empty().then_some(read)
     }
 
     pub fn is_signed_by(&self, key: &[u8; 32]) -> bool {
-        verify(key, Sealed::Word, &self.body(), &self.signature)
+        verify(key, Sealed::Observation, &self.body(), &self.signature)
     }
 }
 
@@ -308,12 +308,12 @@
 
 /// A statement as it stands in a datagram.
 #[derive(Clone, Debug)]
-pub enum Statement {
-    Card(Card),
+pub enum Item {
+    MemberRecord(MemberRecord),
     Accusation(Accusation),
-    Word(Word),
+    Observation(Observation),
     Revocation(Revocation),
-    Order(Order),
+    VoterSet(VoterSet),
     Notice(Notice),
     /// For the receiver alone, on the word of the datagram's sender.
     Direct(Vec<u8>),
@@ -321,27 +321,27 @@
 
 const PADDING: u8 = 0;
 /// What a statement's tag and length take.
-pub const STATEMENT_HEAD: usize = 3;
+pub const ITEM_HEAD_BYTES: usize = 3;
 
 /// A statement as it goes into a datagram.
-pub type Tagged = (Tag, Rc<[u8]>);
+pub type TaggedItem = (ItemTag, Rc<[u8]>);
 
 /// The kinds of statement as they are tagged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Tag {
-    Card = 1,
+pub enum ItemTag {
+    MemberRecord = 1,
     Accusation = 2,
-    Word = 3,
+    Observation = 3,
     Revocation = 4,
-    Order = 5,
+    VoterSet = 5,
     Notice = 6,
     Direct = 7,
 }
 
 /// A datagram's fields, its parts left where they lie.
 pub struct Envelope<'a> {
-    pub kind: Kind,
-    pub cluster: Cluster,
+    pub kind: DatagramKind,
+    pub cluster: ClusterId,
     pub sender: MemberId,
     pub to: MemberId,
     pub sent: Moment,
@@ -361,7 +361,7 @@
 impl<'a> Envelope<'a> {
     /// Reads a datagram of such a cluster, signatures unchecked.
     pub fn read(bytes: &'a [u8]) -> Option<Self> {
-        if bytes.len() > DATAGRAM {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
         let signed = &bytes[..bytes.len().checked_sub(SIGNATURE)?];
@@ -370,8 +370,8 @@
         if from.array()? != MAGIC {
             return None;
         }
-        let kind = Kind::from(from.u8()?)?;
-        let (cluster, sender, to) = (Cluster(from.u64()?), MemberId(from.u64()?), MemberId(from.u64()?));
+        let kind = DatagramKind::from(from.u8()?)?;
+        let (cluster, sender, to) = (ClusterId(from.u64()?), MemberId(from.u64()?), MemberId(from.u64()?));
         let (sent, number) = (Moment::from_micros(from.u64()?), from.u64()?);
         let (re, about) = (from.u64()?, MemberId(from.u64()?));
         let (living, digest) = (from.u16()?, from.u64()?);
@@ -426,18 +426,18 @@
     }
 
     /// The statements that can be read; others are passed over, as a newer version may have sent them.
-    pub fn statements(&self) -> impl Iterator<Item = Statement> {
+    pub fn items(&self) -> impl Iterator<Item = Item> {
         self.parts().flatten().filter_map(|(tag, bytes)| match tag {
-            1 => Card::read(bytes).map(Statement::Card),
-            2 => Accusation::read(bytes).map(Statement::Accusation),
-            3 => Word::read(bytes).map(Statement::Word),
+            1 => MemberRecord::read(bytes).map(Item::MemberRecord),
+            2 => Accusation::read(bytes).map(Item::Accusation),
+            3 => Observation::read(bytes).map(Item::Observation),
             4 => {
                 let mut from = Reader::new(bytes);
-                Revocation::read(&mut from).filter(|_| from.is_empty()).map(Statement::Revocation)
+                Revocation::read(&mut from).filter(|_| from.is_empty()).map(Item::Revocation)
             }
-            5 => Order::read(bytes).map(Statement::Order),
-            6 => Notice::read(bytes).map(Statement::Notice),
-            7 => Some(Statement::Direct(bytes.to_vec())),
+            5 => VoterSet::read(bytes).map(Item::VoterSet),
+            6 => Notice::read(bytes).map(Item::Notice),
+            7 => Some(Item::Direct(bytes.to_vec())),
             _ => None,
         })
     }
@@ -453,11 +453,11 @@
 }
 
 /// Puts a datagram together and signs it. `fill` is the length it is padded to. Gives its mark too.
-pub fn seal(
-    own: &Identity, kind: Kind, to: MemberId, sent: Moment, number: u64, re: u64, about: MemberId,
-    view: (u16, u64), card: &[u8], statements: &[Tagged], fill: usize,
+pub fn encode_signed(
+    own: &Identity, kind: DatagramKind, to: MemberId, sent: Moment, number: u64, re: u64, about: MemberId,
+    view: (u16, u64), card: &[u8], statements: &[TaggedItem], fill: usize,
 ) -> (Vec<u8>, u64) {
-    let mut out = Writer::with_room(DATAGRAM);
+    let mut out = Writer::with_room(MAX_DATAGRAM_BYTES);
     out.bytes(&MAGIC);
     out.u8(kind as u8);
     for part in [own.pass.cluster.0, own.id().0, to.0, micros(sent), number, re, about.0] {
@@ -472,11 +472,11 @@
         out.u16(bytes.len() as u16);
         out.bytes(bytes);
     }
-    let missing = fill.min(DATAGRAM).saturating_sub(out.so_far().len() + SIGNATURE);
-    if missing >= STATEMENT_HEAD {
+    let missing = fill.min(MAX_DATAGRAM_BYTES).saturating_sub(out.so_far().len() + SIGNATURE);
+    if missing >= ITEM_HEAD_BYTES {
         out.u8(PADDING);
-        out.u16((missing - STATEMENT_HEAD) as u16);
-        out.bytes(&vec![0; missing - STATEMENT_HEAD]);
+        out.u16((missing - ITEM_HEAD_BYTES) as u16);
+        out.bytes(&vec![0; missing - ITEM_HEAD_BYTES]);
     }
     let signature = own.secret.sign(Sealed::Envelope, out.so_far());
     out.bytes(&signature);
--- a/crates/gossip/src/words.rs
+++ b/crates/gossip/src/words.rs
@@ -6,7 +6,7 @@
 
 use crate::keys::MemberId;
 use crate::members::Members;
-use crate::wire::{Seen, Word};
+use crate::wire::{EngineCondition, Observation};
 
 /// Witnesses that are kept for one engine and what it is about; the oldest word goes for a new one.
 pub const WITNESSES_KEPT: usize = 8;
@@ -22,7 +22,7 @@
     who: u64,
     incarnation: u64,
     number: u64,
-    seen: Seen,
+    seen: EngineCondition,
     sure: f64,
     /// When it was said, as far as the clocks' tolerance lets it be old, and when it came.
     said: Moment,
@@ -85,7 +85,7 @@
     }
 
     /// Whether a word would count, so that its signature is worth a look.
-    pub fn may_take(&self, now: Moment, word: &Word) -> Result<(), Refused> {
+    pub fn may_take(&self, now: Moment, word: &Observation) -> Result<(), Refused> {
         let heard = self.engines.get(&word.engine).ok_or(Refused::NotListed)?;
         // A list that is late at one of them tells of different starts; a word on an earlier one says nothing now.
         if word.came_up != heard.came_up
@@ -97,8 +97,8 @@
         if word.at > now + self.tolerance || now.since(word.at) > self.lifetime + self.tolerance {
             return Err(Refused::Stale);
         }
-        let kept = heard.words.get(&word.of);
-        let before = kept.into_iter().flatten().find(|kept| kept.witness == word.witness);
+        let kept = heard.words.get(&word.reservation_type);
+        let before = kept.into_iter().flatten().find(|kept| kept.witness == word.reporter);
         if before.is_some_and(|kept| (kept.incarnation, kept.number) >= (word.incarnation, word.number)) {
             return Err(Refused::Told);
         }
@@ -113,10 +113,10 @@
     }
 
     /// Takes in a word that may be taken and that its witness, of this name's hash, signed.
-    pub fn take(&mut self, now: Moment, word: &Word, who: u64) {
+    pub fn take(&mut self, now: Moment, word: &Observation, who: u64) {
         let Some(heard) = self.engines.get_mut(&word.engine) else { return };
-        let kept = heard.words.entry(word.of.clone()).or_default();
-        kept.retain(|kept| kept.witness != word.witness);
+        let kept = heard.words.entry(word.reservation_type.clone()).or_default();
+        kept.retain(|kept| kept.witness != word.reporter);
         if kept.len() >= WITNESSES_KEPT
             && let Some(oldest) =
                 kept.iter().enumerate().min_by_key(|(_, kept)| kept.said).map(|(place, _)| place)
@@ -124,19 +124,19 @@
             kept.swap_remove(oldest);
         }
         kept.push(Kept {
-            witness: word.witness,
+            witness: word.reporter,
             who,
             incarnation: word.incarnation,
             number: word.number,
-            seen: word.seen,
-            sure: f64::from(word.sure) / 255.0,
+            seen: word.condition,
+            sure: f64::from(word.confidence) / 255.0,
             said: (word.at + self.tolerance).min(now),
             came: now,
         });
     }
 
     /// How many others say the same of an engine, in words that are still fresh.
-    pub fn agreeing(&self, now: Moment, engine: &str, of: Option<&str>, seen: Seen, own: MemberId) -> usize {
+    pub fn agreeing(&self, now: Moment, engine: &str, of: Option<&str>, seen: EngineCondition, own: MemberId) -> usize {
         let kept = self.engines.get(engine).and_then(|heard| heard.words.get(&of.map(str::to_owned)));
         let same = |kept: &&Kept| kept.seen == seen && now.since(kept.said) <= self.lifetime.times(0.5);
         kept.into_iter().flatten().filter(same).filter(|kept| kept.witness != own).count()
@@ -150,7 +150,7 @@
         for word in kept.into_iter().flatten() {
             let credit = members.get(word.witness).map_or(0.0, |member| member.credit());
             let fresh = 1.0 - now.since(word.said.min(word.came)).secs() / self.lifetime.secs().max(1e-3);
-            let weight = if word.seen == Seen::Well { 0.0 } else { credit * word.sure * fresh.max(0.0) };
+            let weight = if word.seen == EngineCondition::Well { 0.0 } else { credit * word.sure * fresh.max(0.0) };
             let voice = voices.entry(word.who).or_insert((word.said, weight));
             if word.said >= voice.0 {
                 *voice = (word.said, weight);
@@ -162,12 +162,12 @@
 
     /// Those whose doubts on an engine, for a type or all, were heard before now; the words are dropped, their numbers
     /// kept as words that it is well.
-    pub fn settled(&mut self, engine: &str, of: Option<&str>, seen: impl Fn(Seen) -> bool) -> Vec<MemberId> {
+    pub fn settled(&mut self, engine: &str, of: Option<&str>, seen: impl Fn(EngineCondition) -> bool) -> Vec<MemberId> {
         let Some(heard) = self.engines.get_mut(engine) else { return Vec::new() };
         let Some(kept) = heard.words.get_mut(&of.map(str::to_owned)) else { return Vec::new() };
         let mut by = Vec::new();
-        for word in kept.iter_mut().filter(|word| word.seen != Seen::Well && seen(word.seen)) {
-            word.seen = Seen::Well;
+        for word in kept.iter_mut().filter(|word| word.seen != EngineCondition::Well && seen(word.seen)) {
+            word.seen = EngineCondition::Well;
             by.push(word.witness);
         }
         by
--- a/crates/gossip/tests/decisions.rs
+++ b/crates/gossip/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use woadhook::{Listed, Span};
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 use woadhook_standins::cluster::secs;
 use woadhook_standins::world::{Fate, World};
 
@@ -40,8 +40,8 @@
         for turn in 0..30 {
             for engine in 0..6 {
                 let name = format!("s-{engine}");
-                let seen = if flapping && turn % 2 == 1 { Seen::Well } else { Seen::Silent };
-                world.cluster.at(3, |now, core| core.judged(now, &name, seen));
+                let seen = if flapping && turn % 2 == 1 { EngineCondition::Well } else { EngineCondition::Silent };
+                world.cluster.at(3, |now, core| core.engine_judged(now, &name, seen));
             }
             world.pass(secs(0.7));
         }
@@ -70,8 +70,8 @@
         for liar in 8..12 {
             for engine in 0..6 {
                 let name = format!("s-{engine}");
-                world.cluster.at(liar, |now, core| core.judged(now, &name, Seen::Silent));
-                world.cluster.at(liar, |now, core| core.judged(now, &name, Seen::Reset));
+                world.cluster.at(liar, |now, core| core.engine_judged(now, &name, EngineCondition::Silent));
+                world.cluster.at(liar, |now, core| core.engine_judged(now, &name, EngineCondition::Reset));
             }
         }
         world.pass(secs(0.5));
--- a/crates/gossip/tests/properties.rs
+++ b/crates/gossip/tests/properties.rs
@@ -4,24 +4,24 @@
 
 use proptest::prelude::*;
 use woadhook::{Moment, Span};
-use woadhook_gossip::keys::{MemberId, Pass, Revocation, Secret};
+use woadhook_gossip::keys::{MemberId, Pass, Revocation, SecretKey};
 use woadhook_gossip::members::Window;
 use woadhook_gossip::news::{About, News, WAITING};
 use woadhook_gossip::wire::{
-    Accusation, Card, Envelope, Kind, Seen, Statement, Tag, Word, envelope_bytes, seal,
+    Accusation, MemberRecord, Envelope, DatagramKind, EngineCondition, Item, ItemTag, Observation, envelope_bytes, encode_signed,
 };
 use woadhook_standins::cluster::*;
 use woadhook_standins::net::Weather;
 
 const NOBODY: MemberId = MemberId(0);
 
-fn seen() -> impl Strategy<Value = Seen> {
+fn seen() -> impl Strategy<Value = EngineCondition> {
     prop_oneof![
-        Just(Seen::Silent),
-        Just(Seen::Reset),
-        Just(Seen::Refusing),
-        Just(Seen::Failing),
-        Just(Seen::Well)
+        Just(EngineCondition::Silent),
+        Just(EngineCondition::Reset),
+        Just(EngineCondition::Refusing),
+        Just(EngineCondition::Failing),
+        Just(EngineCondition::Well)
     ]
 }
 
@@ -30,10 +30,10 @@
 
     #[test]
     fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..1400)) {
-        let _ = Envelope::read(&bytes).map(|envelope| envelope.statements().count());
-        let _ = (Card::read(&bytes), Word::read(&bytes), Accusation::read(&bytes));
+        let _ = Envelope::read(&bytes).map(|envelope| envelope.items().count());
+        let _ = (MemberRecord::read(&bytes), Observation::read(&bytes), Accusation::read(&bytes));
         let text = String::from_utf8_lossy(&bytes);
-        let _ = (Pass::from_text(&text).is_ok(), Secret::from_text(&text).is_ok(), Revocation::list_from_text(&text).is_ok());
+        let _ = (Pass::from_text(&text).is_ok(), SecretKey::from_text(&text).is_ok(), Revocation::list_from_text(&text).is_ok());
     }
 
     #[test]
@@ -43,25 +43,25 @@
     ) {
         let now = START + secs(9.0);
         let own = identity(4, "n4", now);
-        let card = Card::issue(&own, address(4), number, number % 2 == 0);
-        let word = Word::issue(&own, number, re, now, &engine, START, seen, of.as_deref(), sure);
+        let card = MemberRecord::issue(&own, address(4), number, number % 2 == 0);
+        let word = Observation::issue(&own, number, re, now, &engine, START, seen, of.as_deref(), sure);
         let accusation = Accusation::issue(&own, MemberId(re), digest, now);
-        let statements: Vec<(Tag, Rc<[u8]>)> = vec![
-            (Tag::Word, word.to_bytes().into()), (Tag::Accusation, accusation.to_bytes().into()),
+        let statements: Vec<(ItemTag, Rc<[u8]>)> = vec![
+            (ItemTag::Observation, word.to_bytes().into()), (ItemTag::Accusation, accusation.to_bytes().into()),
         ];
-        let (bytes, mark) = seal(
-            &own, Kind::Ask, MemberId(re), now, number, re, MemberId(digest), (living, digest), &card.bytes, &statements, fill,
+        let (bytes, mark) = encode_signed(
+            &own, DatagramKind::PingRequest, MemberId(re), now, number, re, MemberId(digest), (living, digest), &card.bytes, &statements, fill,
         );
         let length: usize = statements.iter().map(|(_, bytes)| bytes.len() + 3).sum();
         prop_assert!(bytes.len() >= envelope_bytes(card.bytes.len()) + length && bytes.len() <= 1200);
         let read = Envelope::read(&bytes).unwrap();
-        prop_assert_eq!((read.mark(), read.kind, read.number, read.re), (mark, Kind::Ask, number, re));
+        prop_assert_eq!((read.mark(), read.kind, read.number, read.re), (mark, DatagramKind::PingRequest, number, re));
         prop_assert_eq!((read.to, read.about, read.living, read.digest), (MemberId(re), MemberId(digest), living, digest));
         prop_assert!(read.is_signed_by(&own_key()));
-        let told: Vec<Statement> = read.statements().collect();
-        prop_assert!(matches!(&told[0], Statement::Word(read) if *read == word));
-        prop_assert!(matches!(&told[1], Statement::Accusation(read) if *read == accusation));
-        let again = Card::read(read.card).unwrap();
+        let told: Vec<Item> = read.items().collect();
+        prop_assert!(matches!(&told[0], Item::Observation(read) if *read == word));
+        prop_assert!(matches!(&told[1], Item::Accusation(read) if *read == accusation));
+        let again = MemberRecord::read(read.card).unwrap();
         prop_assert_eq!((again.address, again.incarnation, again.leaving), (card.address, card.incarnation, card.leaving));
         prop_assert!(again.is_own_word());
     }
@@ -80,23 +80,23 @@
         cluster.pass(secs(1.0));
         let now = cluster.now;
         let own = identity(1, "n1", now);
-        let card = cluster.core(1).card();
-        let word = Word::issue(&own, card.incarnation, 9, now, "e-1", Moment::default(), Seen::Silent, None, 255);
-        let third = Card::issue(&identity(7, "n7", now), address(7), 1_780_000_000_000, false);
-        let statements: Vec<(Tag, Rc<[u8]>)> = vec![(Tag::Word, word.to_bytes().into()), (Tag::Card, third.bytes.clone())];
+        let card = cluster.core(1).own_record();
+        let word = Observation::issue(&own, card.incarnation, 9, now, "e-1", Moment::default(), EngineCondition::Silent, None, 255);
+        let third = MemberRecord::issue(&identity(7, "n7", now), address(7), 1_780_000_000_000, false);
+        let statements: Vec<(ItemTag, Rc<[u8]>)> = vec![(ItemTag::Observation, word.to_bytes().into()), (ItemTag::MemberRecord, third.bytes.clone())];
         let to = cluster.core(0).id();
-        let (bytes, _) = seal(&own, Kind::Ping, to, now, 900, 0, NOBODY, (2, 0), &card.bytes, &statements, 0);
+        let (bytes, _) = encode_signed(&own, DatagramKind::Ping, to, now, 900, 0, NOBODY, (2, 0), &card.bytes, &statements, 0);
         let mut changed = bytes.clone();
         let place = place % bytes.len();
         changed[place] ^= flip;
         changed.truncate(if cut < bytes.len() { cut } else { bytes.len() });
-        let view = cluster.core(0).view();
-        cluster.at(0, |now, core| core.heard(now, address(1), &changed));
-        prop_assert_eq!(cluster.core(0).counts().words_taken, 0);
-        prop_assert_eq!(cluster.core(0).view(), view);
-        cluster.at(0, |now, core| core.heard(now, address(1), &bytes));
-        prop_assert_eq!(cluster.core(0).counts().words_taken, 1, "unchanged, it is heard");
-        prop_assert!(cluster.core(0).view() != view);
+        let view = cluster.core(0).view_digest();
+        cluster.at(0, |now, core| core.receive(now, address(1), &changed));
+        prop_assert_eq!(cluster.core(0).counters().words_taken, 0);
+        prop_assert_eq!(cluster.core(0).view_digest(), view);
+        cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
+        prop_assert_eq!(cluster.core(0).counters().words_taken, 1, "unchanged, it is heard");
+        prop_assert!(cluster.core(0).view_digest() != view);
     }
 
 }
@@ -121,7 +121,7 @@
     fn news_are_bounded(count in 1_usize..2500, room in 100_usize..1200, members in 1_usize..5000) {
         let mut news = News::default();
         for number in 0..count {
-            news.add(About::Card(MemberId(number as u64 + 1)), vec![0; 200].into());
+            news.add(About::MemberRecord(MemberId(number as u64 + 1)), vec![0; 200].into());
         }
         prop_assert!(news.len() <= WAITING);
         let most = (3.0 * ((members + 1) as f64).log2()).ceil() as usize * news.len();
@@ -169,7 +169,7 @@
         cluster.net.heal();
         cluster.net.weather = Weather::calm();
         let agreed = cluster.until(secs(60.0), Cluster::agree);
-        let views: Vec<_> = cluster.running().map(|(node, core)| (node, core.living())).collect();
+        let views: Vec<_> = cluster.running().map(|(node, core)| (node, core.live_members())).collect();
         prop_assert!(agreed.is_some(), "{views:?}");
     }
 }
--- a/crates/gossip/tests/stories.rs
+++ b/crates/gossip/tests/scenarios.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 
 use woadhook::{Moment, Outcome, Span};
-use woadhook_gossip::keys::{Identity, MemberId, Order, Pass, Ring, Secret};
+use woadhook_gossip::keys::{Identity, MemberId, VoterSet, Pass, TrustStore, SecretKey};
 use woadhook_gossip::members::{Lapse, Members};
 use woadhook_gossip::news::{About, News};
-use woadhook_gossip::wire::{Accusation, Card, DATAGRAM, Kind, PADDED, Tag, Word, seal};
-use woadhook_gossip::{Counts, Gossip, Seen, What};
+use woadhook_gossip::wire::{Accusation, MemberRecord, MAX_DATAGRAM_BYTES, DatagramKind, PADDED_PING_BYTES, ItemTag, Observation, encode_signed};
+use woadhook_gossip::{Counters, Gossip, EngineCondition, EventKind};
 use woadhook_standins::cluster::*;
 use woadhook_standins::net::Weather;
 
@@ -32,21 +32,21 @@
 
 /// A datagram with such statements, signed by such an instance at its first incarnation.
 fn datagram(
-    own: &Identity, to: MemberId, now: Moment, number: u64, statements: &[(Tag, Vec<u8>)],
+    own: &Identity, to: MemberId, now: Moment, number: u64, statements: &[(ItemTag, Vec<u8>)],
 ) -> Vec<u8> {
-    let card = Card::issue(own, address(200), now.since(Moment::default()).micros() / 1000, false);
+    let card = MemberRecord::issue(own, address(200), now.since(Moment::default()).micros() / 1000, false);
     let statements: Vec<_> = statements.iter().map(|(tag, bytes)| (*tag, bytes.as_slice().into())).collect();
-    seal(own, Kind::Ping, to, now, number, 0, NOBODY, (1, 0), &card.bytes, &statements, PADDED).0
+    encode_signed(own, DatagramKind::Ping, to, now, number, 0, NOBODY, (1, 0), &card.bytes, &statements, PADDED_PING_BYTES).0
 }
 
-fn dead(own: &Identity, now: Moment, number: u64, engine: &str) -> (Tag, Vec<u8>) {
+fn dead(own: &Identity, now: Moment, number: u64, engine: &str) -> (ItemTag, Vec<u8>) {
     let incarnation = now.since(Moment::default()).micros() / 1000;
-    let word = Word::issue(own, incarnation, number, now, engine, Moment::default(), Seen::Silent, None, 255);
-    (Tag::Word, word.to_bytes())
+    let word = Observation::issue(own, incarnation, number, now, engine, Moment::default(), EngineCondition::Silent, None, 255);
+    (ItemTag::Observation, word.to_bytes())
 }
 
-fn learned(counts: Counts) -> (u64, u64) {
-    (counts.words_taken, counts.checks)
+fn learned(counts: Counters) -> (u64, u64) {
+    (counts.words_taken, counts.signature_checks)
 }
 
 #[test]
@@ -56,31 +56,31 @@
     let late = cluster.add(12);
     let found = cluster.until(secs(5.0), Cluster::agree);
     assert!(found.is_some(), "another instance needs no change at the others");
-    assert_eq!(cluster.core(late).others().count(), 12);
+    assert_eq!(cluster.core(late).live_peers().count(), 12);
 }
 
 #[test]
 fn a_crashed_member_is_gone_and_its_restart_is_back_under_a_higher_incarnation() {
     let mut cluster = settled(2, 10);
-    let before = cluster.core(4).card().incarnation;
+    let before = cluster.core(4).own_record().incarnation;
     cluster.kill(4);
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
     cluster.start(4);
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
-    assert!(cluster.core(4).card().incarnation > before);
+    assert!(cluster.core(4).own_record().incarnation > before);
 }
 
 #[test]
 fn a_restart_with_a_clock_set_back_gets_above_its_old_incarnation() {
     let mut cluster = settled(3, 6);
-    let before = cluster.core(5).card().incarnation;
+    let before = cluster.core(5).own_record().incarnation;
     cluster.kill(5);
     cluster.pass(secs(1.0));
     cluster.nodes[5].clock = (secs(4.5), true);
     cluster.start(5);
-    assert!(cluster.core(5).card().incarnation < before, "the story is about a clock set back");
+    assert!(cluster.core(5).own_record().incarnation < before, "the story is about a clock set back");
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
-    assert!(cluster.core(5).card().incarnation > before);
+    assert!(cluster.core(5).own_record().incarnation > before);
 }
 
 #[test]
@@ -94,17 +94,17 @@
     let of = |what| {
         cluster.told.iter().filter(|told| told.what == what && told.member.as_deref() == Some("n3")).count()
     };
-    assert!(of(What::MemberLeft) >= 9);
-    assert_eq!(of(What::MemberGone), 0);
+    assert!(of(EventKind::MemberLeft) >= 9);
+    assert_eq!(of(EventKind::MemberGone), 0);
 }
 
 #[test]
 fn a_word_on_an_engine_reaches_all_within_a_second() {
     let mut cluster = settled(5, 40);
-    cluster.at(7, |now, core| core.judged(now, "e-2", Seen::Silent));
+    cluster.at(7, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
     let all = |cluster: &Cluster| (0..40).all(|node| node == 7 || cluster.doubt(node, "e-2") > 0.4);
     assert!(cluster.until(secs(1.0), all).is_some());
-    cluster.at(7, |now, core| core.judged(now, "e-2", Seen::Well));
+    cluster.at(7, |now, core| core.engine_judged(now, "e-2", EngineCondition::Well));
     let none = |cluster: &Cluster| (0..40).all(|node| cluster.doubt(node, "e-2") == 0.0);
     assert!(cluster.until(secs(2.0), none).is_some());
 }
@@ -113,8 +113,8 @@
 fn refusing_and_failing_engines_are_told_of_by_type_and_no_longer_once_well() {
     let mut cluster = settled(6, 5);
     for _ in 0..4 {
-        cluster.at(0, |now, core| core.ended(now, "e-1", "load", Outcome::Error));
-        cluster.at(0, |now, core| core.ended(now, "e-3", "look", Outcome::TurnedAway));
+        cluster.at(0, |now, core| core.dispatch_ended(now, "e-1", "load", Outcome::Error));
+        cluster.at(0, |now, core| core.dispatch_ended(now, "e-3", "look", Outcome::TurnedAway));
     }
     cluster.pass(secs(1.0));
     let heard = |cluster: &Cluster, of: &str| {
@@ -124,8 +124,8 @@
     assert_eq!(heard(&cluster, "look"), 0.0);
     assert!(cluster.doubt(3, "e-3") > 0.4);
     for _ in 0..4 {
-        cluster.at(0, |now, core| core.ended(now, "e-1", "load", Outcome::Done));
-        cluster.at(0, |now, core| core.ended(now, "e-3", "look", Outcome::Done));
+        cluster.at(0, |now, core| core.dispatch_ended(now, "e-1", "load", Outcome::Done));
+        cluster.at(0, |now, core| core.dispatch_ended(now, "e-3", "look", Outcome::Done));
     }
     cluster.pass(secs(1.0));
     assert_eq!((heard(&cluster, "load"), cluster.doubt(3, "e-3")), (0.0, 0.0));
@@ -140,27 +140,27 @@
         // A key that some other operator admitted.
         let (other, secret) = (secret(900), secret(901));
         let pass = Pass::issue(&other, "n1", secret.public(), tag(), START, START + secs(9e6)).unwrap();
-        let ring = Ring::new(tag(), vec![other.public()]);
+        let ring = TrustStore::new(tag(), vec![other.public()]);
         Identity::new(secret, pass, &ring, now).unwrap()
     };
-    let before = cluster.core(0).counts();
+    let before = cluster.core(0).counters();
     // Wrong operator.
     let bytes = datagram(&stranger, to, now, 1, &[dead(&stranger, now, 1, "e-1")]);
-    cluster.at(0, |now, core| core.heard(now, address(1), &bytes));
+    cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
     // Its own pass, another's name on the word: signed by the stranger, told as of member 1.
     let honest = identity(1, "n1", now);
     let mut bytes = datagram(&honest, to, now, 1_000_000, &[dead(&honest, now, 99, "e-1")]);
     // Bit flips at every byte.
     for place in 0..bytes.len() {
         bytes[place] ^= 0x10;
-        cluster.at(0, |now, core| core.heard(now, address(1), &bytes));
+        cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
         bytes[place] ^= 0x10;
     }
     // No signature at all.
     let length = bytes.len();
     bytes[length - 64..].fill(0);
-    cluster.at(0, |now, core| core.heard(now, address(1), &bytes));
-    let after = cluster.core(0).counts();
+    cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
+    let after = cluster.core(0).counters();
     assert_eq!(after.words_taken, before.words_taken);
     assert!(
         after.not_admitted > before.not_admitted
@@ -178,12 +178,12 @@
     let yesterday = Moment::from_micros(now.since(Moment::default()).less(secs(86_400.0)).micros());
     let old = datagram(&honest, to, yesterday, 1, &[dead(&honest, yesterday, 1, "e-1")]);
     let fresh = datagram(&honest, to, now, 5, &[dead(&honest, now, 5, "e-2")]);
-    let before = cluster.core(0).counts();
-    cluster.at(0, |now, core| core.heard(now, address(1), &old));
-    cluster.at(0, |now, core| core.heard(now, address(1), &fresh));
-    let once = cluster.core(0).counts();
-    cluster.at(0, |now, core| core.heard(now, address(1), &fresh));
-    let twice = cluster.core(0).counts();
+    let before = cluster.core(0).counters();
+    cluster.at(0, |now, core| core.receive(now, address(1), &old));
+    cluster.at(0, |now, core| core.receive(now, address(1), &fresh));
+    let once = cluster.core(0).counters();
+    cluster.at(0, |now, core| core.receive(now, address(1), &fresh));
+    let twice = cluster.core(0).counters();
     assert_eq!(once.untimely, before.untimely + 1);
     assert_eq!(once.words_taken, before.words_taken + 1, "what is fresh is heard");
     assert_eq!((twice.replayed, learned(twice)), (once.replayed + 1, learned(once)));
@@ -191,8 +191,8 @@
     let carrier = identity(2, "n2", now);
     let words = [dead(&honest, yesterday, 9, "e-3"), dead(&honest, now, 5, "e-2")];
     let relayed = datagram(&carrier, to, now, 3, &words);
-    cluster.at(0, |now, core| core.heard(now, address(2), &relayed));
-    assert_eq!(cluster.core(0).counts().words_taken, once.words_taken);
+    cluster.at(0, |now, core| core.receive(now, address(2), &relayed));
+    assert_eq!(cluster.core(0).counters().words_taken, once.words_taken);
     assert_eq!(cluster.doubt(0, "e-3"), 0.0);
 }
 
@@ -202,15 +202,15 @@
     let now = cluster.now;
     let honest = identity(1, "n1", now);
     let to_another = datagram(&honest, cluster.core(2).id(), now, 7, &[dead(&honest, now, 7, "e-1")]);
-    let before = cluster.core(0).counts();
-    cluster.at(0, |now, core| core.heard(now, address(1), &to_another));
-    let other = woadhook_gossip::keys::Cluster::named("elsewhere");
+    let before = cluster.core(0).counters();
+    cluster.at(0, |now, core| core.receive(now, address(1), &to_another));
+    let other = woadhook_gossip::keys::ClusterId::from_name("elsewhere");
     let secret = secret(1);
     let pass = Pass::issue(&operator(), "n1", secret.public(), other, START, START + secs(9e6)).unwrap();
-    let elsewhere = Identity::new(secret, pass, &Ring::new(other, vec![operator().public()]), now).unwrap();
+    let elsewhere = Identity::new(secret, pass, &TrustStore::new(other, vec![operator().public()]), now).unwrap();
     let foreign = datagram(&elsewhere, NOBODY, now, 8, &[dead(&elsewhere, now, 8, "e-1")]);
-    cluster.at(0, |now, core| core.heard(now, address(1), &foreign));
-    let after = cluster.core(0).counts();
+    cluster.at(0, |now, core| core.receive(now, address(1), &foreign));
+    let after = cluster.core(0).counters();
     assert_eq!((after.foreign, learned(after)), (before.foreign + 2, learned(before)));
 }
 
@@ -222,19 +222,19 @@
     let own = identity(0, "n0", now);
     cluster.at(0, |now, core| core.rekey(now, own, list));
     let out = |cluster: &Cluster| {
-        let holds = |node: usize| cluster.core(node).others().any(|(name, ..)| name == "n5");
+        let holds = |node: usize| cluster.core(node).live_peers().any(|(name, ..)| name == "n5");
         (0..8).all(|node| node == 5 || !holds(node))
     };
     assert!(cluster.until(secs(5.0), out).is_some());
-    let before = cluster.core(2).counts();
-    cluster.at(5, |now, core| core.judged(now, "e-1", Seen::Silent));
+    let before = cluster.core(2).counters();
+    cluster.at(5, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(5.0));
     assert!(out(&cluster));
     assert_eq!(cluster.doubt(2, "e-1"), 0.0);
-    assert!(cluster.core(2).counts().not_admitted > before.not_admitted);
+    assert!(cluster.core(2).counters().not_admitted > before.not_admitted);
 }
 
-fn ring_with(revoked: &[u64], now: Moment) -> Ring {
+fn ring_with(revoked: &[u64], now: Moment) -> TrustStore {
     let mut ring = ring();
     revoked.iter().for_each(|number| assert!(ring.revoke(&revocation(*number), now)));
     ring
@@ -246,7 +246,7 @@
     let now = cluster.now;
     // A second operator key, believed beside the first at all, then alone.
     let second = secret(77);
-    let both = || Ring::new(tag(), vec![operator().public(), second.public()]);
+    let both = || TrustStore::new(tag(), vec![operator().public(), second.public()]);
     for node in 0..4 {
         let own = identity(node as u64, &format!("n{node}"), now);
         cluster.at(node, |now, core| core.rekey(now, own, both()));
@@ -264,36 +264,36 @@
         let own = Identity::new(secret(node as u64), pass.unwrap(), &both(), now).unwrap();
         cluster.at(node, |now, core| core.rekey(now, own, both()));
         cluster.pass(secs(1.0));
-        cluster.at(node, |now, core| core.judged(now, "e-1", Seen::Silent));
+        cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
         cluster.pass(secs(1.0));
         let other = (node + 1) % 4;
         assert!(cluster.doubt(other, "e-1") > 0.0, "words go on while keys change");
-        cluster.at(node, |now, core| core.judged(now, "e-1", Seen::Well));
+        cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Well));
         cluster.pass(secs(1.0));
     }
     assert!(cluster.until(secs(5.0), Cluster::agree).is_some());
     cluster.pass(secs(100.0));
-    assert_eq!(cluster.core(0).others().count(), 0, "passes that have ended are believed by nobody");
-    assert!(cluster.told.iter().any(|told| told.what == What::PassEnding));
+    assert_eq!(cluster.core(0).live_peers().count(), 0, "passes that have ended are believed by nobody");
+    assert!(cluster.told.iter().any(|told| told.what == EventKind::PassEnding));
 }
 
 #[test]
 fn whom_a_lost_operator_key_admitted_is_out_with_that_key() {
     let mut cluster = settled(32, 4);
     let (now, stolen) = (cluster.now, secret(78));
-    let both = || Ring::new(tag(), vec![operator().public(), stolen.public()]);
+    let both = || TrustStore::new(tag(), vec![operator().public(), stolen.public()]);
     cluster.at(0, |now, core| core.rekey(now, identity(0, "n0", now), both()));
     let pass = Pass::issue(&stolen, "thief", secret(600).public(), tag(), START, START + secs(9e6)).unwrap();
     let thief = Identity::new(secret(600), pass, &both(), now).unwrap();
     let hello = datagram(&thief, cluster.core(0).id(), now, 1, &[]);
-    cluster.at(0, |now, core| core.heard(now, address(200), &hello));
-    assert!(cluster.core(0).others().any(|(name, ..)| name == "thief"));
+    cluster.at(0, |now, core| core.receive(now, address(200), &hello));
+    assert!(cluster.core(0).live_peers().any(|(name, ..)| name == "thief"));
     cluster.at(0, |now, core| core.rekey(now, identity(0, "n0", now), ring()));
-    assert!(cluster.core(0).others().all(|(name, ..)| name != "thief"));
+    assert!(cluster.core(0).live_peers().all(|(name, ..)| name != "thief"));
     // Through a member that still believes the stolen key, it is not heard either.
     let carrier = identity(2, "n2", now);
     let relayed = datagram(&carrier, cluster.core(0).id(), now, 9, &[dead(&thief, now, 5, "e-1")]);
-    cluster.at(0, |now, core| core.heard(now, address(2), &relayed));
+    cluster.at(0, |now, core| core.receive(now, address(2), &relayed));
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
 }
 
@@ -303,14 +303,14 @@
     cluster.kill(4);
     let new = cluster.add(4);
     assert!(cluster.until(secs(15.0), Cluster::agree).is_some());
-    assert!(cluster.core(0).others().any(|(name, at, _)| name == format!("n{new}") && at == address(4)));
-    assert!(cluster.core(0).others().all(|(name, ..)| name != "n4"));
+    assert!(cluster.core(0).live_peers().any(|(name, at, _)| name == format!("n{new}") && at == address(4)));
+    assert!(cluster.core(0).live_peers().all(|(name, ..)| name != "n4"));
 }
 
 #[test]
 fn an_instance_that_changes_its_own_key_is_one_witness_and_one_member() {
     let mut cluster = settled(12, 5);
-    cluster.at(3, |now, core| core.judged(now, "e-1", Seen::Silent));
+    cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(1.0));
     let once = cluster.doubt(0, "e-1");
     let now = cluster.now;
@@ -318,8 +318,8 @@
     let own = Identity::new(secret(500), pass, &ring(), now).unwrap();
     cluster.at(3, |now, core| core.rekey(now, own, ring()));
     cluster.pass(secs(2.0));
-    cluster.at(3, |now, core| core.judged(now, "e-1", Seen::Well));
-    cluster.at(3, |now, core| core.judged(now, "e-1", Seen::Reset));
+    cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Well));
+    cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Reset));
     cluster.pass(secs(1.0));
     assert!(cluster.doubt(0, "e-1") <= once + 1e-9, "two keys of one name are one voice");
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
@@ -331,21 +331,21 @@
     let liar = cluster.core(5).id();
     let mut lies = 0;
     for turn in 0..40 {
-        let seen = if turn % 2 == 0 { Seen::Silent } else { Seen::Well };
-        cluster.at(5, |now, core| core.judged(now, "e-1", seen));
+        let seen = if turn % 2 == 0 { EngineCondition::Silent } else { EngineCondition::Well };
+        cluster.at(5, |now, core| core.engine_judged(now, "e-1", seen));
         cluster.pass(secs(0.6));
         if cluster.doubt(0, "e-1") > 0.0 {
             lies += 1;
             // What a probe of the engine says.
-            cluster.at(0, |now, core| core.answered(now, "e-1"));
+            cluster.at(0, |now, core| core.probe_answered(now, "e-1"));
             assert_eq!(cluster.doubt(0, "e-1"), 0.0);
         }
     }
     assert!((1..=5).contains(&lies), "{lies} lies were heard");
     assert!(cluster.core(0).credit(liar) < 0.2);
-    assert!(cluster.told.iter().any(|told| told.what == What::MemberDistrusted && told.node == 0));
+    assert!(cluster.told.iter().any(|told| told.what == EventKind::MemberDistrusted && told.node == 0));
     // Others are heard as before.
-    cluster.at(4, |now, core| core.judged(now, "e-2", Seen::Silent));
+    cluster.at(4, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
     cluster.pass(secs(1.0));
     assert!(cluster.doubt(0, "e-2") > 0.4);
 }
@@ -360,22 +360,22 @@
             let now = cluster.now;
             let own = identity(liar as u64, &format!("n{liar}"), now);
             let victim = turn % 17;
-            let (subject, incarnation) = (cluster.core(victim).id(), cluster.core(victim).card().incarnation);
+            let (subject, incarnation) = (cluster.core(victim).id(), cluster.core(victim).own_record().incarnation);
             let accusation = Accusation::issue(&own, subject, incarnation, now);
-            let (own_card, target) = (cluster.core(liar).card(), (victim + 1 + turn) % 17);
-            let statements = [(Tag::Accusation, accusation.to_bytes().into())];
+            let (own_card, target) = (cluster.core(liar).own_record(), (victim + 1 + turn) % 17);
+            let statements = [(ItemTag::Accusation, accusation.to_bytes().into())];
             let to = cluster.core(target).id();
             let number = 1_000_000 + turn as u64;
             let bytes =
-                seal(&own, Kind::Ping, to, now, number, 0, NOBODY, (20, 0), &own_card.bytes, &statements, 0)
+                encode_signed(&own, DatagramKind::Ping, to, now, number, 0, NOBODY, (20, 0), &own_card.bytes, &statements, 0)
                     .0;
             let from = cluster.nodes[liar].address;
             cluster.inject(from, target, bytes);
         }
         cluster.pass(secs(0.5));
     }
-    let gone = cluster.told.iter().filter(|told| told.what == What::MemberGone).count();
-    let accused = cluster.told.iter().filter(|told| told.what == What::Accused).count();
+    let gone = cluster.told.iter().filter(|told| told.what == EventKind::MemberGone).count();
+    let accused = cluster.told.iter().filter(|told| told.what == EventKind::SelfSuspected).count();
     assert_eq!(gone, 0);
     assert!(accused > 0, "the lies were told");
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
@@ -386,12 +386,12 @@
     let mut cluster = settled(30, 3);
     let now = cluster.now;
     let forger = identity(2, "n2", now);
-    let mut word = Word::issue(&forger, 1, 99, now, "e-1", Moment::default(), Seen::Silent, None, 255);
-    word.witness = cluster.core(1).id();
-    let bytes = datagram(&forger, cluster.core(0).id(), now, 9, &[(Tag::Word, word.to_bytes())]);
-    let before = cluster.core(0).counts();
-    cluster.at(0, |now, core| core.heard(now, address(2), &bytes));
-    let after = cluster.core(0).counts();
+    let mut word = Observation::issue(&forger, 1, 99, now, "e-1", Moment::default(), EngineCondition::Silent, None, 255);
+    word.reporter = cluster.core(1).id();
+    let bytes = datagram(&forger, cluster.core(0).id(), now, 9, &[(ItemTag::Observation, word.to_bytes())]);
+    let before = cluster.core(0).counters();
+    cluster.at(0, |now, core| core.receive(now, address(2), &bytes));
+    let after = cluster.core(0).counters();
     assert_eq!((after.words_taken, after.forged), (before.words_taken, before.forged + 1));
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
 }
@@ -400,7 +400,7 @@
 fn one_witness_under_two_keys_ends_nobody_and_three_do() {
     let now = START + secs(60.0);
     let card =
-        |number: u64, name: &str| Rc::new(Card::issue(&identity(number, name, now), address(1), 5, false));
+        |number: u64, name: &str| Rc::new(MemberRecord::issue(&identity(number, name, now), address(1), 5, false));
     let accused = |witnesses: &[(u64, &str)]| {
         let mut members = Members::new(NOBODY, 20);
         let subject = card(1, "subject");
@@ -428,7 +428,7 @@
         let place = cluster.nodes[node].address;
         cluster.net.part(place, 1);
     }
-    let parted = |cluster: &Cluster| cluster.core(3).living() == 4 && cluster.core(8).living() == 5;
+    let parted = |cluster: &Cluster| cluster.core(3).live_members() == 4 && cluster.core(8).live_members() == 5;
     assert!(cluster.until(secs(20.0), parted).is_some());
     cluster.net.heal();
     assert!(cluster.until(secs(30.0), Cluster::agree).is_some());
@@ -437,13 +437,13 @@
 #[test]
 fn words_are_not_held_up_by_ever_new_cards() {
     let mut news = News::default();
-    news.add(About::Word(MemberId(1), "e-1".to_owned(), None), vec![0; 200].into());
+    news.add(About::Observation(MemberId(1), "e-1".to_owned(), None), vec![0; 200].into());
     let mut told = 0;
     for round in 0..12 {
         for number in 0..4 {
-            news.add(About::Card(MemberId(100 + round * 4 + number)), vec![0; 220].into());
+            news.add(About::MemberRecord(MemberId(100 + round * 4 + number)), vec![0; 220].into());
         }
-        told += news.take(NOBODY, 850, 20).iter().filter(|(tag, _)| *tag == Tag::Word).count();
+        told += news.take(NOBODY, 850, 20).iter().filter(|(tag, _)| *tag == ItemTag::Observation).count();
     }
     assert!(told >= 4, "{told} times in a dozen datagrams");
 }
@@ -453,13 +453,13 @@
     let mut cluster = settled(15, 6);
     let slow = cluster.nodes[5].address;
     cluster.net.lag(slow, secs(10.0));
-    cluster.at(5, |now, core| core.judged(now, "e-1", Seen::Silent));
+    cluster.at(5, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(12.0));
     let late = cluster.doubt(0, "e-1");
     assert!(late < 0.3, "ten seconds late, a word counts half of a fresh one at most: {late}");
     cluster.pass(secs(20.0));
     let others = |cluster: &Cluster| {
-        let knows = |node: usize| cluster.core(node).others().filter(|(name, ..)| *name != "n5").count() == 4;
+        let knows = |node: usize| cluster.core(node).live_peers().filter(|(name, ..)| *name != "n5").count() == 4;
         (0..5).all(knows)
     };
     assert!(others(&cluster));
@@ -475,11 +475,11 @@
         cluster.list(&ENGINES);
         assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
         for node in [2, 4] {
-            cluster.at(node, |now, core| core.judged(now, "e-1", Seen::Silent));
+            cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
             cluster.pass(secs(1.0));
             let heard = |other: usize| other == node || cluster.doubt(other, "e-1") > 0.2;
             assert!((0..8).all(heard), "what {node} says");
-            cluster.at(node, |now, core| core.judged(now, "e-1", Seen::Well));
+            cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Well));
             cluster.pass(secs(2.0));
             assert!((0..8).all(|other| cluster.doubt(other, "e-1") == 0.0));
         }
@@ -492,14 +492,14 @@
     for number in 20..120 {
         cluster.add(number);
     }
-    let before: Vec<u64> = cluster.running().map(|(_, core)| core.counts().sent).collect();
+    let before: Vec<u64> = cluster.running().map(|(_, core)| core.counters().sent).collect();
     let start = cluster.now;
     let took = cluster.until(secs(60.0), Cluster::agree);
     assert!(took.is_some());
     let span = cluster.now.since(start).secs() + 0.5;
     for ((_, core), before) in cluster.running().zip(before) {
-        let rate = (core.counts().sent - before) as f64 / span;
-        assert!(rate <= usual_pace().sends_per_s * 1.2, "{rate} datagrams a second");
+        let rate = (core.counters().sent - before) as f64 / span;
+        assert!(rate <= usual_pace().max_sends_per_s * 1.2, "{rate} datagrams a second");
     }
 }
 
@@ -512,7 +512,7 @@
             cluster.net.part(place, 1);
         }
         let parted =
-            |cluster: &Cluster| cluster.core(0).living() == 40 - small && cluster.core(39).living() == small;
+            |cluster: &Cluster| cluster.core(0).live_members() == 40 - small && cluster.core(39).live_members() == small;
         assert!(cluster.until(secs(30.0), parted).is_some(), "{small} of 40 cut off");
         cluster.kill(10);
         cluster.pass(secs(5.0));
@@ -521,7 +521,7 @@
         assert!(
             healed.is_some(),
             "{small} of 40 cut off: {:?}",
-            cluster.running().map(|(node, core)| (node, core.living())).collect::<Vec<_>>()
+            cluster.running().map(|(node, core)| (node, core.live_members())).collect::<Vec<_>>()
         );
     }
 }
@@ -532,7 +532,7 @@
     cluster.net.weather = Weather::rough();
     cluster.told.clear();
     cluster.pass(secs(20.0));
-    cluster.at(3, |now, core| core.judged(now, "e-1", Seen::Silent));
+    cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     let all = |cluster: &Cluster| (0..20).all(|node| node == 3 || cluster.doubt(node, "e-1") > 0.2);
     assert!(
         cluster.until(secs(4.0), all).is_some(),
@@ -541,7 +541,7 @@
     );
     cluster.net.weather = Weather::calm();
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
-    let replayed: u64 = cluster.running().map(|(_, core)| core.counts().replayed).sum();
+    let replayed: u64 = cluster.running().map(|(_, core)| core.counters().replayed).sum();
     assert!(replayed > 0, "the network repeated datagrams");
 }
 
@@ -552,15 +552,15 @@
     // A member's own words, sent again from an address that is not its own.
     let own = identity(29, "n29", now);
     let to = cluster.core(0).id();
-    for (number, kind) in [Kind::Ping, Kind::Pull, Kind::Ask].into_iter().enumerate() {
-        let card = Card::issue(&own, address(29), cluster.core(29).card().incarnation, false);
-        let about = if kind == Kind::Ask { cluster.core(3).id() } else { NOBODY };
+    for (number, kind) in [DatagramKind::Ping, DatagramKind::Pull, DatagramKind::PingRequest].into_iter().enumerate() {
+        let card = MemberRecord::issue(&own, address(29), cluster.core(29).own_record().incarnation, false);
+        let about = if kind == DatagramKind::PingRequest { cluster.core(3).id() } else { NOBODY };
         let bytes =
-            seal(&own, kind, to, now, 5_000 + number as u64, 0, about, (1, 0), &card.bytes, &[], 600).0;
-        let before = cluster.core(0).counts();
-        cluster.at(0, |now, core| core.heard(now, address(250), &bytes));
-        let after = cluster.core(0).counts();
-        assert!(after.checks > before.checks, "it was taken for the member's");
+            encode_signed(&own, kind, to, now, 5_000 + number as u64, 0, about, (1, 0), &card.bytes, &[], 600).0;
+        let before = cluster.core(0).counters();
+        cluster.at(0, |now, core| core.receive(now, address(250), &bytes));
+        let after = cluster.core(0).counters();
+        assert!(after.signature_checks > before.signature_checks, "it was taken for the member's");
         let answered = after.sent_bytes - before.sent_bytes;
         assert!(answered <= bytes.len() as u64, "{answered} bytes to {kind:?} of {}", bytes.len());
     }
@@ -570,20 +570,20 @@
 fn spoofed_joins_neither_fill_the_table_nor_make_the_seed_talk() {
     let mut cluster = settled(22, 5);
     let now = cluster.now;
-    let before = cluster.core(0).counts();
+    let before = cluster.core(0).counters();
     // One valid pass, joined under a thousand addresses.
     let own = identity(800, "n800", now);
     for number in 0..1000 {
-        let card = Card::issue(&own, address(300 + number), 1_780_000_000_000 + number as u64, false);
-        let bytes = seal(&own, Kind::Ping, NOBODY, now, 1, 0, NOBODY, (1, 0), &card.bytes, &[], PADDED).0;
-        cluster.at(0, |now, core| core.heard(now, address(300 + number), &bytes));
+        let card = MemberRecord::issue(&own, address(300 + number), 1_780_000_000_000 + number as u64, false);
+        let bytes = encode_signed(&own, DatagramKind::Ping, NOBODY, now, 1, 0, NOBODY, (1, 0), &card.bytes, &[], PADDED_PING_BYTES).0;
+        cluster.at(0, |now, core| core.receive(now, address(300 + number), &bytes));
     }
-    let after = cluster.core(0).counts();
-    assert!(cluster.core(0).living() <= 6, "one key is one member");
+    let after = cluster.core(0).counters();
+    assert!(cluster.core(0).live_members() <= 6, "one key is one member");
     assert!(after.over_budget > before.over_budget, "the budget of strangers binds");
     assert!(after.sent - before.sent < 100);
     // Known members are heard all the while.
-    cluster.at(3, |now, core| core.judged(now, "e-1", Seen::Silent));
+    cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(1.0));
     assert!(cluster.doubt(0, "e-1") > 0.4);
 }
@@ -591,7 +591,7 @@
 #[test]
 fn a_flood_of_garbage_costs_no_signature_checks() {
     let mut cluster = settled(23, 3);
-    let before = cluster.core(0).counts();
+    let before = cluster.core(0).counters();
     let mut seen = BTreeSet::new();
     for number in 0..20_000_u32 {
         let mut bytes = vec![(number % 251) as u8; (number % 1300) as usize];
@@ -599,11 +599,11 @@
             bytes[..4].copy_from_slice(b"WG\x01\x00");
         }
         seen.insert(bytes.len());
-        cluster.at(0, |now, core| core.heard(now, address(240), &bytes));
+        cluster.at(0, |now, core| core.receive(now, address(240), &bytes));
     }
-    let after = cluster.core(0).counts();
-    assert!(seen.contains(&(DATAGRAM + 1)));
-    assert_eq!(after.checks, before.checks);
+    let after = cluster.core(0).counters();
+    assert!(seen.contains(&(MAX_DATAGRAM_BYTES + 1)));
+    assert_eq!(after.signature_checks, before.signature_checks);
     assert_eq!(after.foreign, before.foreign + 20_000);
 }
 
@@ -613,11 +613,11 @@
     let now = cluster.now;
     let stolen = identity(2, "n2", now);
     let far = now + Span::from_secs(1e7);
-    let card = Card::issue(&stolen, address(2), far.since(Moment::default()).micros() / 1000, false);
-    let bytes = seal(&stolen, Kind::Ping, NOBODY, now, 1, 0, NOBODY, (1, 0), &card.bytes, &[], PADDED).0;
-    let before = cluster.core(0).counts().not_admitted;
-    cluster.at(0, |now, core| core.heard(now, address(2), &bytes));
-    assert_eq!(cluster.core(0).counts().not_admitted, before + 1);
+    let card = MemberRecord::issue(&stolen, address(2), far.since(Moment::default()).micros() / 1000, false);
+    let bytes = encode_signed(&stolen, DatagramKind::Ping, NOBODY, now, 1, 0, NOBODY, (1, 0), &card.bytes, &[], PADDED_PING_BYTES).0;
+    let before = cluster.core(0).counters().not_admitted;
+    cluster.at(0, |now, core| core.receive(now, address(2), &bytes));
+    assert_eq!(cluster.core(0).counters().not_admitted, before + 1);
     assert!(cluster.until(secs(5.0), Cluster::agree).is_some());
 }
 
@@ -626,65 +626,65 @@
     let mut cluster = settled(25, 3);
     let up = cluster.now;
     let list = vec![("e-1".to_owned(), up)];
-    cluster.at(0, |_, core| core.listed(&list));
+    cluster.at(0, |_, core| core.set_engines(&list));
     let older = vec![("e-1".to_owned(), START)];
-    cluster.at(1, |_, core| core.listed(&older));
-    cluster.at(1, |now, core| core.judged(now, "e-1", Seen::Reset));
+    cluster.at(1, |_, core| core.set_engines(&older));
+    cluster.at(1, |now, core| core.engine_judged(now, "e-1", EngineCondition::Reset));
     cluster.pass(secs(1.0));
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
-    assert!(cluster.core(0).counts().words_refused > 0);
+    assert!(cluster.core(0).counters().words_refused > 0);
 }
 
 #[test]
 fn memory_holds_the_members_that_are_allowed_and_no_more() {
-    let pace = woadhook_gossip::Pace { members: 8, ..usual_pace() };
+    let pace = woadhook_gossip::GossipConfig { max_members: 8, ..usual_pace() };
     let mut cluster = Cluster::new(26, 14, Weather::calm(), pace);
     cluster.pass(secs(10.0));
-    assert!(cluster.running().all(|(_, core)| core.living() <= 9));
-    assert!(cluster.told.iter().any(|told| told.what == What::NoRoom));
+    assert!(cluster.running().all(|(_, core)| core.live_members() <= 9));
+    assert!(cluster.told.iter().any(|told| told.what == EventKind::MemberTableFull));
 }
 
 #[test]
 fn a_secret_file_reads_back_and_is_checked() {
     let secret = secret(3);
-    let again = Secret::from_text(&secret.to_text()).unwrap();
+    let again = SecretKey::from_text(&secret.to_text()).unwrap();
     assert_eq!(again.public(), secret.public());
-    assert!(Secret::from_text("woadhook secret key\nabc").is_err());
-    assert!(Secret::from_text("woadhook pass\n00").is_err());
+    assert!(SecretKey::from_text("woadhook secret key\nabc").is_err());
+    assert!(SecretKey::from_text("woadhook pass\n00").is_err());
     let now = START + secs(1.0);
     let pass = Pass::issue(&operator(), "n", again.public(), tag(), now, now + secs(9.0)).unwrap();
     assert_eq!(Pass::from_text(&pass.to_text()).unwrap(), pass);
     assert!(Pass::issue(&operator(), "a b", again.public(), tag(), now, now + secs(9.0)).is_err());
-    let wrong = |secret: Secret, ring: Ring, at| Identity::new(secret, pass.clone(), &ring, at).err();
+    let wrong = |secret: SecretKey, ring: TrustStore, at| Identity::new(secret, pass.clone(), &ring, at).err();
     assert!(wrong(self::secret(4), ring(), now).unwrap().contains("another key"));
-    assert!(wrong(self::secret(3), Ring::new(tag(), vec![]), now).unwrap().contains("not signed"));
+    assert!(wrong(self::secret(3), TrustStore::new(tag(), vec![]), now).unwrap().contains("not signed"));
     assert!(wrong(self::secret(3), ring(), now + secs(10.0)).unwrap().contains("ended"));
-    let _: fn(&Gossip) -> Counts = Gossip::counts;
+    let _: fn(&Gossip) -> Counters = Gossip::counters;
 }
 
 #[test]
 fn all_hear_the_operators_order_and_the_named_voters_notices_and_nobody_elses() {
     let mut cluster = Cluster::new(21, 6, Weather::calm(), usual_pace());
     cluster.acquaint();
-    let order = |by: &Secret, epoch, voters: &[u64]| {
+    let order = |by: &SecretKey, epoch, voters: &[u64]| {
         let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret(*voter).public()).collect();
-        Order::issue(by, tag(), epoch, &keys).unwrap()
+        VoterSet::issue(by, tag(), epoch, &keys).unwrap()
     };
-    assert!(cluster.at(4, |_, core| core.order(order(&operator(), 1, &[0, 1]))));
+    assert!(cluster.at(4, |_, core| core.accept_voter_set(order(&operator(), 1, &[0, 1]))));
     cluster.pass(secs(3.0));
     assert_eq!((0..6).filter(|node| cluster.orders.contains(&(*node, 1))).count(), 6);
     // One that believes another operator too spreads that one's order, and believes it is heard.
-    let both = Ring::new(tag(), vec![operator().public(), secret(5).public()]);
+    let both = TrustStore::new(tag(), vec![operator().public(), secret(5).public()]);
     let own = identity(5, "n5", cluster.now);
     cluster.at(5, |now, core| core.rekey(now, own, both));
-    assert!(cluster.at(5, |_, core| core.order(order(&secret(5), 9, &[5]))));
+    assert!(cluster.at(5, |_, core| core.accept_voter_set(order(&secret(5), 9, &[5]))));
     // A voter's notice, a stranger's, and a voter's from an hour ahead.
-    cluster.at(1, |now, core| core.notice(now, 0, b"one".to_vec()));
-    cluster.at(3, |now, core| core.notice(now, 0, b"stranger".to_vec()));
+    cluster.at(1, |now, core| core.broadcast_notice(now, 0, b"one".to_vec()));
+    cluster.at(3, |now, core| core.broadcast_notice(now, 0, b"stranger".to_vec()));
     cluster.pass(secs(3.0));
-    cluster.at(1, |now, core| core.notice(now + secs(3_600.0), 0, b"ahead".to_vec()));
+    cluster.at(1, |now, core| core.broadcast_notice(now + secs(3_600.0), 0, b"ahead".to_vec()));
     cluster.pass(secs(3.0));
-    cluster.at(1, |now, core| core.notice(now, 0, b"two".to_vec()));
+    cluster.at(1, |now, core| core.broadcast_notice(now, 0, b"two".to_vec()));
     cluster.pass(secs(3.0));
     assert!(cluster.orders.iter().all(|(node, epoch)| *epoch == 1 || *node == 5), "{:?}", cluster.orders);
     let heard = |says: &[u8]| cluster.notices.iter().filter(|(.., heard)| heard == says).count();
--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -93,7 +93,7 @@
     pub fn pull(&mut self, now: Moment, gossip: &mut Gossip) {
         while let Some(to_do) = self.node.next(now) {
             match to_do {
-                Do::Send { to, bytes } => _ = gossip.tell(now, MemberId(to.0), bytes),
+                Do::Send { to, bytes } => _ = gossip.send_direct(now, MemberId(to.0), bytes),
                 Do::Warrant(warrant, agreed) => self.vouch(now, warrant, agreed, gossip),
                 Do::Decided(agreed) => {
                     let Number { epoch, step, .. } = agreed.number;
@@ -115,10 +115,10 @@
         let fresh = self.vouched.replace(agreed.number) != Some(agreed.number);
         self.told = if fresh { 0 } else { self.told + 1 };
         if self.told.is_multiple_of(STATES) {
-            gossip.notice(now, STATE, warrant.write_with_state(&agreed));
-            gossip.retell_order();
+            gossip.broadcast_notice(now, STATE, warrant.write_with_state(&agreed));
+            gossip.rebroadcast_voter_set();
         } else {
-            gossip.notice(now, WARRANT, warrant.write());
+            gossip.broadcast_notice(now, WARRANT, warrant.write());
         }
         self.follower.heard_warrant(now, Name(own.0), warrant);
         self.follower.heard_state(agreed);
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -10,7 +10,7 @@
 use woadhook::Span;
 use woadhook_door::Instance;
 use woadhook_gossip::keys::{
-    Cluster, MemberId, Order as Voters, Pass, Revocation, Secret, public_from_text, public_to_text,
+    ClusterId, MemberId, Pass, Revocation, SecretKey, VoterSet, public_key_from_text, public_key_to_text,
 };
 use woadhook_operator::{Sheet, bounds, page};
 use woadhook_router::clock::Clock;
@@ -98,7 +98,7 @@
         #[arg(long)]
         epoch: u64,
         /// A voter's public key, 64 hex digits; one to seven of them, best three or five in as many zones
-        #[arg(long = "voter", value_name = "HEX", value_parser = public_from_text, required = true)]
+        #[arg(long = "voter", value_name = "HEX", value_parser = public_key_from_text, required = true)]
         voters: Vec<[u8; 32]>,
         /// The file to write
         #[arg(long, value_name = "FILE")]
@@ -125,7 +125,7 @@
     #[arg(long)]
     cluster: String,
     /// The instance's public key, 64 hex digits
-    #[arg(long, value_name = "HEX", value_parser = public_from_text)]
+    #[arg(long, value_name = "HEX", value_parser = public_key_from_text)]
     member: [u8; 32],
 }
 
@@ -266,9 +266,9 @@
         Key::New { file } => {
             let mut bytes = zeroize::Zeroizing::new([0; 32]);
             getrandom::fill(&mut *bytes).map_err(|error| error.to_string())?;
-            let secret = Secret::from_bytes(&bytes);
+            let secret = SecretKey::from_bytes(&bytes);
             keyfiles::write_secret(&file, &secret)?;
-            Ok(format!("{}\n", public_to_text(&secret.public())))
+            Ok(format!("{}\n", public_key_to_text(&secret.public())))
         }
         Key::Show { file } => show(&file),
         Key::Admit { by, name, days: count, to } => {
@@ -277,7 +277,7 @@
                 &operator,
                 &name,
                 by.member,
-                Cluster::named(&by.cluster),
+                ClusterId::from_name(&by.cluster),
                 now,
                 now + days(count),
             )?;
@@ -286,7 +286,7 @@
         }
         Key::Order { operator_key, cluster, epoch, voters, to } => {
             let operator = keyfiles::secret(&operator_key)?;
-            let order = Voters::issue(&operator, Cluster::named(&cluster), epoch, &voters)?;
+            let order = VoterSet::issue(&operator, ClusterId::from_name(&cluster), epoch, &voters)?;
             keyfiles::write_new(&to, order.to_text().as_bytes(), 0o644)?;
             Ok(said_of(&order))
         }
@@ -294,16 +294,16 @@
             let operator = keyfiles::secret(&by.operator_key)?;
             let mut listed = if list.exists() { keyfiles::revocations(&list)? } else { Vec::new() };
             let new =
-                Revocation::issue(&operator, &by.member, Cluster::named(&by.cluster), now + days(count));
+                Revocation::issue(&operator, &by.member, ClusterId::from_name(&by.cluster), now + days(count));
             listed.retain(|old| old.member != new.member && old.until > now);
             listed.push(new);
             keyfiles::write_revocations(&list, &listed)?;
-            Ok(format!("{} is revoked; {} on the list\n", MemberId::of(&by.member), listed.len()))
+            Ok(format!("{} is revoked; {} on the list\n", MemberId::of_key(&by.member), listed.len()))
         }
     }
 }
 
-fn said_of(order: &Voters) -> String {
+fn said_of(order: &VoterSet) -> String {
     let voters: Vec<String> = order.voters.iter().map(MemberId::to_string).collect();
     format!("epoch {} with {} voters: {}\n", order.epoch, voters.len(), voters.join(" "))
 }
@@ -317,7 +317,7 @@
             "pass of {} ({}), {state}\nkey {}\n",
             pass.name,
             pass.id(),
-            public_to_text(&pass.key)
+            public_key_to_text(&pass.key)
         ));
     }
     if let Ok(order) = keyfiles::order(file) {
@@ -328,5 +328,5 @@
     }
     let secret = keyfiles::secret(file)?;
     let public = secret.public();
-    Ok(format!("secret key of {}\npublic {}\n", MemberId::of(&public), public_to_text(&public)))
+    Ok(format!("secret key of {}\npublic {}\n", MemberId::of_key(&public), public_key_to_text(&public)))
 }
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -13,7 +13,7 @@
 use woadhook::*;
 use woadhook_door::Instance;
 use woadhook_door::fields::*;
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 use woadhook_pace::crawl::Standing;
 use woadhook_pace::rate::Least;
 
@@ -484,13 +484,13 @@
             Decision::SetAside { engine, why } => {
                 let name = self.instance.engines.name(engine.0);
                 log::info!(event = "engine_set_aside", engine = name, why = why.words(); "engine {name} set aside: {}", why.words());
-                let seen = if why == Aside::Failed { Seen::Reset } else { Seen::Silent };
+                let seen = if why == Aside::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
                 self.note(engine, |engine| Note::Judged { engine, seen });
             }
             Decision::Back { engine } => {
                 let name = self.instance.engines.name(engine.0);
                 log::info!(event = "engine_back", engine = name; "engine {name} is back");
-                self.note(engine, |engine| Note::Judged { engine, seen: Seen::Well });
+                self.note(engine, |engine| Note::Judged { engine, seen: EngineCondition::Well });
             }
             Decision::Forget(Forgotten::Job(job)) => {
                 self.jobs.remove(&job);
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use woadhook::*;
 use woadhook_door::fields::Result;
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 
 use crate::keyfiles::Keys;
 use crate::memory::{Held, Holder};
@@ -193,7 +193,7 @@
 
 /// What this instance met.
 pub enum Note {
-    Judged { engine: String, seen: Seen },
+    Judged { engine: String, seen: EngineCondition },
     Ended { engine: String, of: String, outcome: Outcome },
     Answered { engine: String },
     Rekey(Box<Keys>),
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -8,8 +8,8 @@
 use futures_lite::{FutureExt, future};
 use woadhook::{Moment, Span};
 use woadhook_door::fields::Result;
-use woadhook_gossip::wire::DATAGRAM;
-use woadhook_gossip::{Do, Gossip, Pace, Seen};
+use woadhook_gossip::wire::MAX_DATAGRAM_BYTES;
+use woadhook_gossip::{Action, EngineCondition, Gossip, GossipConfig};
 use woadhook_operator::Section;
 
 use crate::agreement::{self, Agreement};
@@ -31,7 +31,7 @@
     /// Where others send to.
     pub address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    pub pace: Pace,
+    pub pace: GossipConfig,
     /// Of what a few voters agree on, where the operator's order names any.
     pub accord: woadhook_accord::Pace,
 }
@@ -54,16 +54,16 @@
 }
 
 /// How much, how often and how long, as the section states it.
-pub fn pace(section: Section<'_>) -> Pace {
+pub fn pace(section: Section<'_>) -> GossipConfig {
     let millis = |field| Span::from_micros(section.whole(field) * 1000);
-    Pace {
+    GossipConfig {
         period: millis("period_ms"),
-        sends_per_s: section.whole("sends_per_s") as f64,
-        checks_per_s: section.whole("checks_per_s") as f64,
-        members: section.whole("members") as usize,
-        tolerance: millis("clock_tolerance_ms"),
-        word_lifetime: millis("word_lifetime_ms"),
-        forget: Span::from_micros(section.whole("forget_s") * 1_000_000),
+        max_sends_per_s: section.whole("sends_per_s") as f64,
+        max_checks_per_s: section.whole("checks_per_s") as f64,
+        max_members: section.whole("members") as usize,
+        clock_tolerance: millis("clock_tolerance_ms"),
+        observation_lifetime: millis("word_lifetime_ms"),
+        forget_after: Span::from_micros(section.whole("forget_s") * 1_000_000),
     }
 }
 
@@ -82,7 +82,7 @@
         Agreement::start(clock.now(), seed.rotate_left(31), rand::random(), identity.id(), accord);
     let mut core = Gossip::new(clock.now(), seed.rotate_left(17), identity, ring, address, seeds, pace);
     if let Some(order) = order {
-        core.order(order);
+        core.accept_voter_set(order);
     }
     let (notes, taken, listed) = Notes::new();
     tasks.start(run(core, agreement, socket, clock, taken, listed, module));
@@ -102,15 +102,15 @@
     notes: Receiver<Note>, lists: Receiver<List>, module: Sender<Event>,
 ) {
     // One byte more than allowed, so that what is too long shows.
-    let mut buffer = [0; DATAGRAM + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         loop {
             let now = clock.now();
             agreement.pull(now, &mut core);
-            let Some(to_do) = core.next(now) else { break };
+            let Some(to_do) = core.next_action(now) else { break };
             carry_out(to_do, now, &mut agreement, &socket, &module);
         }
-        let due = [core.due(), agreement.due()].into_iter().flatten().min();
+        let due = [core.next_deadline(), agreement.due()].into_iter().flatten().min();
         let datagram = async { Heard::Datagram(socket.recv_from(&mut buffer).await) };
         let note = async { notes.recv().await.map_or(Heard::Ended, Heard::Note) };
         let list = async { lists.recv().await.map_or(Heard::Ended, Heard::List) };
@@ -125,17 +125,17 @@
         let now = clock.now();
         match heard {
             Heard::Datagram(Ok((length, from))) => {
-                core.heard(now, from, &buffer[..length]);
+                core.receive(now, from, &buffer[..length]);
                 for _ in 1..TURN {
                     let Ok((length, from)) = socket.get_ref().recv_from(&mut buffer) else { break };
-                    core.heard(now, from, &buffer[..length]);
+                    core.receive(now, from, &buffer[..length]);
                 }
                 future::yield_now().await;
             }
             // Such an error may last, and must not hold the thread; members find out by their pings.
             Heard::Datagram(Err(_)) => pass(PAUSE).await,
             Heard::Note(note) => take_in(&mut core, now, note),
-            Heard::List(list) => core.listed(&list),
+            Heard::List(list) => core.set_engines(&list),
             Heard::Due => {}
             Heard::Ended => return,
         }
@@ -144,15 +144,15 @@
 
 fn take_in(core: &mut Gossip, now: Moment, note: Note) {
     match note {
-        Note::Judged { engine, seen } => core.judged(now, &engine, seen),
-        Note::Ended { engine, of, outcome } => core.ended(now, &engine, &of, outcome),
-        Note::Answered { engine } => core.answered(now, &engine),
+        Note::Judged { engine, seen } => core.engine_judged(now, &engine, seen),
+        Note::Ended { engine, of, outcome } => core.dispatch_ended(now, &engine, &of, outcome),
+        Note::Answered { engine } => core.probe_answered(now, &engine),
         Note::Rekey(keys) => {
             let Keys { identity, ring, order } = *keys;
             log::info!(event = "gossip_rekeyed", member = identity.name(); "keys were read again");
             core.rekey(now, identity, ring);
             if let Some(order) = order {
-                core.order(order);
+                core.accept_voter_set(order);
             }
         }
         Note::Stopping => core.leave(now),
@@ -160,23 +160,23 @@
 }
 
 fn carry_out(
-    to_do: Do, now: Moment, agreement: &mut Agreement, socket: &Async<UdpSocket>, module: &Sender<Event>,
+    to_do: Action, now: Moment, agreement: &mut Agreement, socket: &Async<UdpSocket>, module: &Sender<Event>,
 ) {
     match to_do {
-        Do::Ordered { epoch, voters } => agreement.ordered(now, epoch, &voters),
-        Do::Direct { from, bytes } => agreement.heard(now, from, &bytes),
-        Do::Notice { from, subject, says } => agreement.noticed(now, from, subject, &says),
+        Action::VoterSet { epoch, voters } => agreement.ordered(now, epoch, &voters),
+        Action::DirectMessage { from, bytes } => agreement.heard(now, from, &bytes),
+        Action::Notice { from, subject, payload } => agreement.noticed(now, from, subject, &payload),
         // What the socket does not take now is lost, as on any network.
-        Do::Send { to, bytes } => {
+        Action::Send { to, bytes } => {
             let _ = socket.get_ref().send_to(&bytes, to);
         }
-        Do::Hearsay { engine, of, doubt } => {
+        Action::PeerReport { engine, reservation_type: of, suspicion: doubt } => {
             let _ = module.try_send(Event::Hearsay { engine, of, doubt });
         }
-        Do::Event { what, member, engine, seen } => {
+        Action::Event { kind, member, engine, condition } => {
             let (member, engine) = (member.unwrap_or_default(), engine.unwrap_or_default());
-            let seen = seen.map_or("", Seen::name);
-            log::info!(event = what.name(), member, engine, seen; "gossip: {} {member} {engine} {seen}", what.name());
+            let seen = condition.map_or("", EngineCondition::name);
+            log::info!(event = kind.name(), member, engine, seen; "gossip: {} {member} {engine} {seen}", kind.name());
         }
     }
 }
--- a/crates/router/src/keyfiles.rs
+++ b/crates/router/src/keyfiles.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use woadhook::Moment;
-use woadhook_gossip::keys::{Cluster, Identity, Order, Pass, Revocation, Ring, Secret, public_from_text};
+use woadhook_gossip::keys::{ClusterId, Identity, Pass, Revocation, SecretKey, TrustStore, VoterSet, public_key_from_text};
 use woadhook_operator::Section;
 use zeroize::Zeroizing;
 
@@ -32,9 +32,9 @@
     file.text(most, COMES_WITHIN).map_err(|error| format!("{shown}: {error}"))
 }
 
-pub fn secret(path: &Path) -> Result<Secret, String> {
+pub fn secret(path: &Path) -> Result<SecretKey, String> {
     let text = text(path, FILE_BYTES, true)?;
-    Secret::from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    SecretKey::from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 pub fn pass(path: &Path) -> Result<Pass, String> {
@@ -46,12 +46,12 @@
     Revocation::list_from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-pub fn order(path: &Path) -> Result<Order, String> {
-    Order::from_text(&text(path, FILE_BYTES, false)?).map_err(|fault| format!("{}: {fault}", path.display()))
+pub fn order(path: &Path) -> Result<VoterSet, String> {
+    VoterSet::from_text(&text(path, FILE_BYTES, false)?).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 /// Writes a new file that only its owner can read; one that is there stays.
-pub fn write_secret(path: &Path, secret: &Secret) -> Result<(), String> {
+pub fn write_secret(path: &Path, secret: &SecretKey) -> Result<(), String> {
     write_new(path, secret.to_text().as_bytes(), 0o600)
 }
 
@@ -75,23 +75,23 @@
 /// Who this instance is, and whom it believes.
 pub struct Keys {
     pub identity: Identity,
-    pub ring: Ring,
+    pub ring: TrustStore,
     /// Who votes on what all follow.
-    pub order: Option<Order>,
+    pub order: Option<VoterSet>,
 }
 
 impl Keys {
     /// Reads the files that the operator file's section names.
     pub fn read(section: Section<'_>, now: Moment) -> Result<Self, String> {
         let named = |field: &str| section.file(field).ok_or_else(|| format!("gossip.{field}: names no file"));
-        let operators = section.texts("operator_keys").into_iter().map(public_from_text);
+        let operators = section.texts("operator_keys").into_iter().map(public_key_from_text);
         let operators: Vec<[u8; 32]> = operators
             .collect::<Result<_, String>>()
             .map_err(|fault| format!("gossip.operator_keys: {fault}"))?;
         if operators.is_empty() {
             return Err("gossip.operator_keys: empty, so no pass would be believed".to_owned());
         }
-        let mut ring = Ring::new(Cluster::named(section.text("cluster")), operators);
+        let mut ring = TrustStore::new(ClusterId::from_name(section.text("cluster")), operators);
         if let Some(path) = section.file("revoked") {
             for revocation in revocations(&path)? {
                 ring.revoke(&revocation, now);
@@ -100,7 +100,7 @@
         let order = section.file("order").map(|path| (order(&path), path));
         let order = order.map(|(order, path)| Ok::<_, String>((order?, path))).transpose()?;
         if let Some((order, path)) = &order
-            && !ring.believes_order(order)
+            && !ring.verifies_voter_set(order)
         {
             return Err(format!(
                 "{}: the order is not signed by one of the operator's keys for this cluster",
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -4,9 +4,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use woadhook::{Moment, Span};
-use woadhook_gossip::Seen;
-use woadhook_gossip::keys::{Identity, MemberId, Pass, Ring, Secret};
-use woadhook_gossip::wire::{Card, Envelope, Kind, PADDED, Statement, Tag, Word, seal};
+use woadhook_gossip::EngineCondition;
+use woadhook_gossip::keys::{Identity, MemberId, Pass, SecretKey, TrustStore};
+use woadhook_gossip::wire::{DatagramKind, Envelope, Item, ItemTag, MemberRecord, Observation, PADDED_PING_BYTES, encode_signed};
 use woadhook_router::gossip::Talk;
 use woadhook_router::keyfiles::Keys;
 use woadhook_router::stop::Order;
@@ -24,11 +24,11 @@
 }
 
 /// A member's key with a pass that is good now.
-fn member(number: u64, name: &str, by: &Secret) -> Identity {
+fn member(number: u64, name: &str, by: &SecretKey) -> Identity {
     let secret = secret(number);
     let pass =
         Pass::issue(by, name, secret.public(), tag(), before(60.0), now() + Span::from_secs(3600.0)).unwrap();
-    Identity::new(secret, pass, &Ring::new(tag(), vec![by.public()]), now()).unwrap()
+    Identity::new(secret, pass, &TrustStore::new(tag(), vec![by.public()]), now()).unwrap()
 }
 
 /// A router that talks, with key 1, and where it listens.
@@ -37,7 +37,7 @@
     let address = socket.local_addr().unwrap();
     let keys =
         Keys { identity: member(number, &format!("n{number}"), &operator()), ring: ring(), order: None };
-    let pace = woadhook_gossip::Pace { period: Span::from_secs(0.05), ..usual_pace() };
+    let pace = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..usual_pace() };
     let talk = Talk { socket, keys, address, seeds, pace, accord: usual_accord() };
     let told = told(engines, Events::default().serve().address, 1024);
     (Running::talking(&told, Some(talk)), address)
@@ -61,22 +61,22 @@
 
     fn says(&mut self, to: SocketAddr, sent: Moment, engine: &str, spoilt: bool) {
         self.number += 1;
-        let card = Card::issue(&self.own, self.socket.local_addr().unwrap(), self.incarnation, false);
-        let word = Word::issue(
+        let card = MemberRecord::issue(&self.own, self.socket.local_addr().unwrap(), self.incarnation, false);
+        let word = Observation::issue(
             &self.own,
             self.incarnation,
             self.number,
             sent,
             engine,
             Moment::default(),
-            Seen::Silent,
+            EngineCondition::Silent,
             None,
             255,
         );
-        let statements = [(Tag::Word, word.to_bytes().into())];
-        let (mut bytes, _) = seal(
+        let statements = [(ItemTag::Observation, word.to_bytes().into())];
+        let (mut bytes, _) = encode_signed(
             &self.own,
-            Kind::Ping,
+            DatagramKind::Ping,
             NOBODY,
             sent,
             self.number,
@@ -85,7 +85,7 @@
             (1, 0),
             &card.bytes,
             &statements,
-            PADDED,
+            PADDED_PING_BYTES,
         );
         if spoilt {
             let last = bytes.len() - 1;
@@ -95,10 +95,10 @@
     }
 
     /// The statements of the next datagram that comes.
-    fn hears(&self) -> Vec<Statement> {
+    fn hears(&self) -> Vec<Item> {
         let mut bytes = [0; 1500];
         let (length, _) = self.socket.recv_from(&mut bytes).unwrap();
-        Envelope::read(&bytes[..length]).unwrap().statements().collect()
+        Envelope::read(&bytes[..length]).unwrap().items().collect()
     }
 }
 
@@ -152,7 +152,7 @@
     let mut revoked = false;
     for _ in 0..20 {
         honest.says(at, now(), "s-0", false);
-        revoked |= honest.hears().iter().any(|told| matches!(told, Statement::Revocation(_)));
+        revoked |= honest.hears().iter().any(|told| matches!(told, Item::Revocation(_)));
         if revoked {
             break;
         }
--- a/crates/standins/examples/accord_scale.rs
+++ b/crates/standins/examples/accord_scale.rs
@@ -7,7 +7,7 @@
 const SPAN: f64 = 16.0;
 
 fn sent(cluster: &Cluster) -> Vec<(u64, u64)> {
-    cluster.running().map(|(_, core)| (core.counts().sent, core.counts().sent_bytes)).collect()
+    cluster.running().map(|(_, core)| (core.counters().sent, core.counters().sent_bytes)).collect()
 }
 
 /// Mean and most of a second over the instances: datagrams and bytes.
--- a/crates/standins/examples/gossip_scale.rs
+++ b/crates/standins/examples/gossip_scale.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use woadhook::Span;
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 use woadhook_standins::cluster::{Cluster, secs, usual_pace};
 use woadhook_standins::net::Weather;
 
@@ -17,8 +17,8 @@
 fn sums(cluster: &Cluster) -> [f64; 4] {
     let mut sums = [0.0; 4];
     for (_, core) in cluster.running().filter(|(node, _)| counted(*node)) {
-        let counts = core.counts();
-        let parts = [counts.sent, counts.sent_bytes, counts.received, counts.checks];
+        let counts = core.counters();
+        let parts = [counts.sent, counts.sent_bytes, counts.received, counts.signature_checks];
         sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part as f64);
     }
     sums
@@ -70,7 +70,7 @@
             "CPU a datagram received, sending and network and all: {:.0} us",
             started.elapsed().as_secs_f64() * 1e6 / received.max(1.0)
         );
-        cluster.at(1, |now, core| core.judged(now, "e-2", Seen::Silent));
+        cluster.at(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
         let heard = |cluster: &Cluster| {
             (0..count).filter(|node| *node != 1 && cluster.doubt(*node, "e-2") > 0.0).count()
         };
@@ -82,9 +82,9 @@
             "and all, after that: {}",
             shown(cluster.until(secs(20.0), |cluster| heard(cluster) == count - 1))
         );
-        cluster.at(1, |now, core| core.judged(now, "e-2", Seen::Well));
+        cluster.at(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Well));
         cluster.kill(2);
-        let knows = |cluster: &Cluster| cluster.running().filter(|(_, core)| core.living() < count).count();
+        let knows = |cluster: &Cluster| cluster.running().filter(|(_, core)| core.live_members() < count).count();
         println!(
             "a crashed instance is gone at half: {}",
             shown(cluster.until(secs(60.0), |cluster| knows(cluster) * 2 >= count - 1))
@@ -98,7 +98,7 @@
             "and back at all: {}",
             shown(
                 cluster.until(secs(120.0), |cluster| {
-                    cluster.running().all(|(_, core)| core.living() == count)
+                    cluster.running().all(|(_, core)| core.live_members() == count)
                 })
             )
         );
@@ -120,7 +120,7 @@
             cluster.net.heal();
             println!("halves agree again after: {}", shown(cluster.until(secs(300.0), Cluster::agree)));
         }
-        let most = cluster.running().map(|(_, core)| core.counts().held_back).max();
+        let most = cluster.running().map(|(_, core)| core.counters().sends_over_budget).max();
         println!("most sends held back by the budget at one instance: {}", most.unwrap_or(0));
     }
 }
--- a/crates/standins/examples/hearsay.rs
+++ b/crates/standins/examples/hearsay.rs
@@ -2,7 +2,7 @@
 //! -p woadhook-standins --example hearsay`. One command, same figures each time.
 
 use woadhook::Span;
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 use woadhook_standins::cluster::secs;
 use woadhook_standins::world::{Fate, World};
 
@@ -43,8 +43,8 @@
         for turn in 0..20 {
             for liar in 8..8 + liars {
                 for engine in 0..6 {
-                    let seen = if flapping && turn % 2 == 1 { Seen::Well } else { Seen::Silent };
-                    world.cluster.at(liar, |now, core| core.judged(now, &format!("s-{engine}"), seen));
+                    let seen = if flapping && turn % 2 == 1 { EngineCondition::Well } else { EngineCondition::Silent };
+                    world.cluster.at(liar, |now, core| core.engine_judged(now, &format!("s-{engine}"), seen));
                 }
             }
             world.pass(secs(0.5));
--- a/crates/standins/examples/scale/members.rs
+++ b/crates/standins/examples/scale/members.rs
@@ -5,7 +5,7 @@
 use std::process::id;
 use std::time::Instant;
 
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 use woadhook_standins::cluster::{Cluster, secs, usual_pace};
 use woadhook_standins::net::Weather;
 
@@ -68,14 +68,14 @@
 /// Bytes that all have sent and received.
 fn bytes(cluster: &Cluster) -> (f64, f64) {
     cluster.running().fold((0.0, 0.0), |(sent, received), (_, core)| {
-        let counts = core.counts();
+        let counts = core.counters();
         (sent + counts.sent_bytes as f64, received + counts.received_bytes as f64)
     })
 }
 
 /// Until all have heard what one saw, in milliseconds.
 fn spread(cluster: &mut Cluster) -> Option<f64> {
-    cluster.at(WITNESS, |now, core| core.judged(now, ENGINE, Seen::Silent));
+    cluster.at(WITNESS, |now, core| core.engine_judged(now, ENGINE, EngineCondition::Silent));
     let others =
         |cluster: &Cluster| (0..cluster.nodes.len()).filter(|node| *node != WITNESS).collect::<Vec<_>>();
     let all = |cluster: &Cluster| others(cluster).into_iter().all(|node| cluster.doubt(node, ENGINE) > 0.0);
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use woadhook::{Moment, Span};
-use woadhook_gossip::keys::{Cluster as Tag, Identity, MemberId, Order, Pass, Revocation, Ring, Secret};
-use woadhook_gossip::{Do, Gossip, Pace, Seen, What};
+use woadhook_gossip::keys::{ClusterId, Identity, MemberId, Pass, Revocation, SecretKey, TrustStore, VoterSet};
+use woadhook_gossip::{Action, EngineCondition, EventKind, Gossip, GossipConfig};
 use woadhook_router::agreement::Agreement;
 
 use crate::net::{Network, Weather};
@@ -19,15 +19,15 @@
 }
 
 /// The pace of the operator file's defaults.
-pub fn usual_pace() -> Pace {
-    Pace {
+pub fn usual_pace() -> GossipConfig {
+    GossipConfig {
         period: secs(0.2),
-        sends_per_s: 40.0,
-        checks_per_s: 400.0,
-        members: 4096,
-        tolerance: secs(5.0),
-        word_lifetime: secs(10.0),
-        forget: secs(600.0),
+        max_sends_per_s: 40.0,
+        max_checks_per_s: 400.0,
+        max_members: 4096,
+        clock_tolerance: secs(5.0),
+        observation_lifetime: secs(10.0),
+        forget_after: secs(600.0),
     }
 }
 
@@ -37,23 +37,23 @@
 }
 
 /// Keys from small numbers.
-pub fn secret(number: u64) -> Secret {
+pub fn secret(number: u64) -> SecretKey {
     let mut bytes = [7; 32];
     bytes[..8].copy_from_slice(&number.to_be_bytes());
-    Secret::from_bytes(&bytes)
+    SecretKey::from_bytes(&bytes)
 }
 
 /// The operator of the stand-in clusters.
-pub fn operator() -> Secret {
+pub fn operator() -> SecretKey {
     secret(u64::MAX)
 }
 
-pub fn tag() -> Tag {
-    Tag::named("stand-ins")
+pub fn tag() -> ClusterId {
+    ClusterId::from_name("stand-ins")
 }
 
-pub fn ring() -> Ring {
-    Ring::new(tag(), vec![operator().public()])
+pub fn ring() -> TrustStore {
+    TrustStore::new(tag(), vec![operator().public()])
 }
 
 pub fn identity(number: u64, name: &str, now: Moment) -> Identity {
@@ -97,10 +97,10 @@
 pub struct Told {
     pub at: Moment,
     pub node: usize,
-    pub what: What,
+    pub what: EventKind,
     pub member: Option<String>,
     pub engine: Option<String>,
-    pub seen: Option<Seen>,
+    pub seen: Option<EngineCondition>,
 }
 
 pub struct Cluster {
@@ -110,7 +110,7 @@
     pub told: Vec<Told>,
     /// Hearsay that no one took yet: instance, engine, type and doubt.
     pub heard: VecDeque<(usize, String, Option<String>, f64)>,
-    pub pace: Pace,
+    pub pace: GossipConfig,
     seed: u64,
     /// Orders and notices that instances heard: at which, the epoch; and from whom, what.
     pub orders: Vec<(usize, u64)>,
@@ -124,7 +124,7 @@
 
 impl Cluster {
     /// `count` instances that know the first three as seeds, and nothing else.
-    pub fn new(seed: u64, count: usize, weather: Weather, pace: Pace) -> Self {
+    pub fn new(seed: u64, count: usize, weather: Weather, pace: GossipConfig) -> Self {
         let net = Network::new(seed, weather);
         let (nodes, told, heard, places) = (Vec::new(), Vec::new(), VecDeque::new(), HashMap::new());
         let (due, dues) = (BTreeSet::new(), Vec::new());
@@ -185,11 +185,11 @@
 
     /// Makes all know all, as after a long calm time.
     pub fn acquaint(&mut self) {
-        let cards: Vec<_> = self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.card())).collect();
+        let cards: Vec<_> = self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.own_record())).collect();
         for node in 0..self.nodes.len() {
             let now = self.nodes[node].now(self.now);
             if let Some(core) = &mut self.nodes[node].core {
-                core.know(now, cards.iter().cloned());
+                core.preload_members(now, cards.iter().cloned());
             }
         }
     }
@@ -216,8 +216,8 @@
                 .or_insert_with(|| Agreement::start(now, seed, node as u8, own, accord));
         }
         let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret(*voter as u64).public()).collect();
-        let order = Order::issue(&operator(), tag(), epoch, &keys).expect("an order");
-        self.at(0, |_, core| core.order(order));
+        let order = VoterSet::issue(&operator(), tag(), epoch, &keys).expect("an order");
+        self.at(0, |_, core| core.accept_voter_set(order));
     }
 
     /// How many instances act on what is agreed now.
@@ -233,7 +233,7 @@
         let list: Vec<_> = engines.iter().map(|name| ((*name).to_owned(), Moment::default())).collect();
         for node in 0..self.nodes.len() {
             if self.nodes[node].core.is_some() {
-                self.at(node, |_, core| core.listed(&list));
+                self.at(node, |_, core| core.set_engines(&list));
             }
         }
     }
@@ -257,8 +257,8 @@
     /// Whether all that run know just each other.
     pub fn agree(&self) -> bool {
         let count = self.running().count();
-        let view = self.running().next().map(|(_, core)| core.view());
-        self.running().all(|(_, core)| core.living() == count && Some(core.view()) == view)
+        let view = self.running().next().map(|(_, core)| core.view_digest());
+        self.running().all(|(_, core)| core.live_members() == count && Some(core.view_digest()) == view)
     }
 
     /// When the next thing happens.
@@ -276,7 +276,7 @@
         if let Some((from, to, bytes)) = self.net.arrived(self.now) {
             let Some(&node) = self.places.get(&to) else { return true };
             if self.nodes[node].core.is_some() {
-                self.at(node, |now, core| core.heard(now, from, &bytes));
+                self.at(node, |now, core| core.receive(now, from, &bytes));
             }
         } else if let Some((_, node)) = self.due.first().copied() {
             self.settle(node);
@@ -309,32 +309,32 @@
             if let Some(agreement) = self.agreements.get_mut(&node) {
                 agreement.pull(now, core);
             }
-            let Some(to_do) = core.next(now) else { break };
+            let Some(to_do) = core.next_action(now) else { break };
             match to_do {
-                Do::Send { to, bytes } => self.net.send(true_now, from, to, bytes),
-                Do::Hearsay { engine, of, doubt } => {
+                Action::Send { to, bytes } => self.net.send(true_now, from, to, bytes),
+                Action::PeerReport { engine, reservation_type: of, suspicion: doubt } => {
                     self.heard.push_back((node, engine.clone(), of.clone(), doubt));
                     self.nodes[node].hearsay.insert((engine, of), doubt);
                 }
-                Do::Ordered { epoch, voters } => {
+                Action::VoterSet { epoch, voters } => {
                     self.orders.push((node, epoch));
                     if let Some(agreement) = self.agreements.get_mut(&node) {
                         agreement.ordered(now, epoch, &voters);
                     }
                 }
-                Do::Direct { from, bytes } => {
+                Action::DirectMessage { from, bytes } => {
                     if let Some(agreement) = self.agreements.get_mut(&node) {
                         agreement.heard(now, from, &bytes);
                     }
                 }
-                Do::Notice { from, subject, says } => {
-                    self.notices.push((node, from, says.clone()));
+                Action::Notice { from, subject, payload } => {
+                    self.notices.push((node, from, payload.clone()));
                     if let Some(agreement) = self.agreements.get_mut(&node) {
-                        agreement.noticed(now, from, subject, &says);
+                        agreement.noticed(now, from, subject, &payload);
                     }
                 }
-                Do::Event { what, member, engine, seen } => {
-                    self.told.push(Told { at: true_now, node, what, member, engine, seen });
+                Action::Event { kind, member, engine, condition } => {
+                    self.told.push(Told { at: true_now, node, what: kind, member, engine, seen: condition });
                 }
             }
         }
@@ -347,7 +347,7 @@
         }
         let Some(core) = self.nodes[node].core.as_ref() else { return };
         let agreement = self.agreements.get(&node).and_then(Agreement::due);
-        let Some(due) = [core.due(), agreement].into_iter().flatten().min() else { return };
+        let Some(due) = [core.next_deadline(), agreement].into_iter().flatten().min() else { return };
         let own_now = self.nodes[node].now(self.now);
         // Never at once again: a core that is due now was just asked.
         let at = self.now + due.since(own_now).max(Span::from_micros(1));
--- a/crates/standins/src/fleet/talk.rs
+++ b/crates/standins/src/fleet/talk.rs
@@ -7,7 +7,7 @@
 
 use serde_json::json;
 use woadhook::Moment;
-use woadhook_gossip::keys::{Order, Pass, public_to_text};
+use woadhook_gossip::keys::{Pass, VoterSet, public_key_to_text};
 use woadhook_router::keyfiles;
 
 use super::{LEASE, Layout};
@@ -18,7 +18,7 @@
 /// The operator's order that the first routers vote.
 pub(super) fn order(folder: &Path, epoch: u64, voters: usize) {
     let keys: Vec<[u8; 32]> = (0..voters).map(|router| secret(router as u64 + 1).public()).collect();
-    let order = Order::issue(&operator(), tag(), epoch, &keys).expect("an order");
+    let order = VoterSet::issue(&operator(), tag(), epoch, &keys).expect("an order");
     fs::write(folder.join("order"), order.to_text()).expect("a file");
 }
 
@@ -44,7 +44,7 @@
             let mut section = json!({"cluster": "stand-ins", "listen": own[router].to_string(),
                 "advertise": known[router].to_string(), "seeds": known.iter().take(3).map(SocketAddr::to_string)
                 .collect::<Vec<_>>(), "key": key, "pass": pass, "period_ms": 100,
-                "operator_keys": [public_to_text(&operator().public())]});
+                "operator_keys": [public_key_to_text(&operator().public())]});
             if layout.voters > 0 {
                 section["order"] = json!(file("order".to_owned()));
             }
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -9,7 +9,7 @@
 use woadhook::{CellId, KindId, ZoneId};
 use woadhook::{Decision, EngineId, Forgotten, GroupId, JobId, Listed, Moment, Outcome, Span, TypeId};
 use woadhook_door::Instance;
-use woadhook_gossip::Seen;
+use woadhook_gossip::EngineCondition;
 
 use crate::cluster::{Cluster, secs, usual_pace};
 use crate::net::Weather;
@@ -251,7 +251,7 @@
                 self.hosts[router].instance.router.probe_ended(now, id, outcome);
                 if outcome == Outcome::Done {
                     let name = self.engines[engine].name.clone();
-                    self.tell(router, |now, core| core.answered(now, &name));
+                    self.tell(router, |now, core| core.probe_answered(now, &name));
                 }
                 self.pull(router);
             }
@@ -313,7 +313,7 @@
         host.instance.router.dispatch_ended(now, JobId(job), number, outcome, now.since(sent), None, over);
         let (name, of) =
             (self.engines[engine].name.clone(), host.instance.types[host.jobs[job].kind].clone());
-        self.tell(router, |now, core| core.ended(now, &name, &of, outcome));
+        self.tell(router, |now, core| core.dispatch_ended(now, &name, &of, outcome));
         self.pull(router);
     }
 
@@ -355,13 +355,13 @@
                     self.happens(at, Happening::Wakes { router });
                 }
                 Decision::SetAside { engine, why } => {
-                    let seen = if why == woadhook::Aside::Failed { Seen::Reset } else { Seen::Silent };
+                    let seen = if why == woadhook::Aside::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
                     let name = self.hosts[router].instance.engines.name(engine.0).to_owned();
-                    self.tell(router, |now, core| core.judged(now, &name, seen));
+                    self.tell(router, |now, core| core.engine_judged(now, &name, seen));
                 }
                 Decision::Back { engine } => {
                     let name = self.hosts[router].instance.engines.name(engine.0).to_owned();
-                    self.tell(router, |now, core| core.judged(now, &name, Seen::Well));
+                    self.tell(router, |now, core| core.engine_judged(now, &name, EngineCondition::Well));
                 }
                 Decision::Forget(Forgotten::Engine(engine)) => {
                     self.hosts[router].instance.engines.forget(engine.0);
--- a/crates/standins/tests/capacity/main.rs
+++ b/crates/standins/tests/capacity/main.rs
@@ -43,7 +43,7 @@
 | router | memory | in all | - | KB | - | - | 6,000 | 129,420 | 131,072 | under | rooms, `crates/router/src/memory.rs` | sum: router, lines of engines + router, connections |
 | control part | messages | gossip | 0 | bytes a second | 1,800 | routers | 4,937 | 4,937 | 3,000 | over | missing: a slower pace | results.md: Gossip |
 | control part | messages | gossip of all | 4,937 | bytes a second | 1,800 | routers | 0 | 8,886,600 | - | no limit | pace, `crates/gossip/src/budget.rs` | row: control part, gossip |
-| engine | state | datagrams' room | 1,200 | bytes | 1,800 | routers | 0 | 2,160,000 | - | no limit | `crates/gossip/src/wire.rs` | code: `crates/gossip/src/wire.rs` DATAGRAM |
+| engine | state | datagrams' room | 1,200 | bytes | 1,800 | routers | 0 | 2,160,000 | - | no limit | `crates/gossip/src/wire.rs` | code: `crates/gossip/src/wire.rs` MAX_DATAGRAM_BYTES |
 | engine | memory | as a router's | 6,200 | KB | 1,800 | routers | 0 | 11,160,000 | - | no limit | `src/records.rs` | point: engines/2,400/memory |
 | client | memory | its own | - | KB | - | - | - | - | - | not measured | missing: a client of the project's own | not measured: clients are the users' |
 ";
@@ -239,7 +239,7 @@
     assert_eq!(found("results.md: Gossip", "results.md: Gosip"), Wrong::NoSuchHeading("Gosip".to_owned()));
     let wrong = found("row: control part, gossip", "row: control part, talk");
     assert_eq!(wrong, Wrong::NoSuchRow("control part, talk".to_owned()));
-    assert!(matches!(found("wire.rs` DATAGRAM", "wire.rs` LETTER"), Wrong::NotInFile { .. }));
+    assert!(matches!(found("wire.rs` MAX_DATAGRAM_BYTES", "wire.rs` LETTER"), Wrong::NotInFile { .. }));
 }
 
 #[test]
