--- a/crates/accord/src/follow.rs
+++ b/crates/accord/src/follower.rs
@@ -5,36 +5,36 @@
 use serde::{Deserialize, Serialize};
 use woadhook::{Moment, Span};
 
-use crate::agreed::{Agreed, Life, Name, Number, Voter};
+use crate::state::{DecidedState, Incarnation, NodeId, StateNumber, Voter};
 
 /// States that are kept while no majority has vouched for them.
 const CANDIDATES: usize = 4;
 
 /// A voter's word that a state is the latest it knows. Its host signs it with the voter's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Warrant {
-    pub life: Life,
-    pub number: Number,
+pub struct Attestation {
+    pub incarnation: Incarnation,
+    pub number: StateNumber,
     pub digest: u64,
     /// Microseconds of Unix time, on the voter's clock.
-    pub said: u64,
+    pub issued_at_us: u64,
 }
 
-impl Warrant {
-    pub fn write(&self) -> Vec<u8> {
+impl Attestation {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         whole(bytes)
     }
 
     /// With the state that it vouches for.
-    pub fn write_with_state(&self, agreed: &Agreed) -> Vec<u8> {
+    pub fn encode_with_state(&self, agreed: &DecidedState) -> Vec<u8> {
         postcard::to_stdvec(&(self, agreed)).unwrap_or_default()
     }
 
-    pub fn read_with_state(bytes: &[u8]) -> Option<(Self, Agreed)> {
+    pub fn decode_with_state(bytes: &[u8]) -> Option<(Self, DecidedState)> {
         whole(bytes)
     }
 }
@@ -46,12 +46,12 @@
 
 /// What became of a word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum FollowerUpdate {
     /// A later state is believed now.
-    Later,
+    StateAdvanced,
     /// It is worth telling on.
-    New,
-    Nothing,
+    Recorded,
+    Ignored,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -61,12 +61,12 @@
     most_content: usize,
     /// The operator's order: the epoch, and whose votes count in it.
     epoch: u64,
-    named: Vec<Name>,
-    believed: Option<Agreed>,
+    named: Vec<NodeId>,
+    believed: Option<DecidedState>,
     /// States that were heard of and not vouched for by a majority yet; the oldest goes for a new one.
-    candidates: Vec<Agreed>,
+    candidates: Vec<DecidedState>,
     /// The latest word of each named voter; as many lines as names.
-    warrants: BTreeMap<Name, Warrant>,
+    warrants: BTreeMap<NodeId, Attestation>,
 }
 
 impl Follower {
@@ -86,7 +86,7 @@
     }
 
     /// The operator's order; one of an earlier epoch says nothing any more.
-    pub fn ordered(&mut self, epoch: u64, named: &[Name]) -> bool {
+    pub fn apply_voter_set(&mut self, epoch: u64, named: &[NodeId]) -> bool {
         if epoch <= self.epoch {
             return false;
         }
@@ -96,21 +96,21 @@
         true
     }
 
-    pub fn believed(&self) -> Option<&Agreed> {
+    pub fn confirmed(&self) -> Option<&DecidedState> {
         self.believed.as_ref()
     }
 
     /// A state, from whomever. It is believed once a majority of its voters, each named by the operator, vouches for it, and
     /// kept for that only if one of them does already: others can't fill the table.
-    pub fn heard_state(&mut self, agreed: Agreed) -> Taken {
-        let sound = agreed.number.epoch == self.epoch && agreed.proposal.is_sound(self.most_content);
-        let named = agreed.proposal.voters.iter().all(|voter| self.named.contains(&voter.name));
+    pub fn receive_state(&mut self, agreed: DecidedState) -> FollowerUpdate {
+        let sound = agreed.number.epoch == self.epoch && agreed.proposal.is_valid(self.most_content);
+        let named = agreed.proposal.voters.iter().all(|voter| self.named.contains(&voter.node));
         // Threat: an epoch that was founded twice; who remembers the first must not take the second for its later states.
         let follows =
-            |known: &Agreed| agreed.number.is_later(known.number) && agreed.number.is_kin(known.number);
+            |known: &DecidedState| agreed.number.is_later(known.number) && agreed.number.shares_history_with(known.number);
         let later = self.believed.as_ref().is_none_or(follows);
         if !sound || !named || !later || self.candidates.contains(&agreed) || self.vouchers(&agreed) == 0 {
-            return Taken::Nothing;
+            return FollowerUpdate::Ignored;
         }
         if self.candidates.len() >= CANDIDATES {
             self.candidates.remove(0);
@@ -120,54 +120,54 @@
     }
 
     /// A voter's word, whose signature was found good.
-    pub fn heard_warrant(&mut self, now: Moment, name: Name, warrant: Warrant) -> Taken {
-        let said = Moment::from_micros(warrant.said);
+    pub fn receive_attestation(&mut self, now: Moment, name: NodeId, warrant: Attestation) -> FollowerUpdate {
+        let said = Moment::from_micros(warrant.issued_at_us);
         let ahead = said > now + self.tolerance;
         let stale = now.since(said) > self.lease + self.tolerance;
         if warrant.number.epoch != self.epoch || !self.named.contains(&name) || ahead || stale {
-            return Taken::Nothing;
+            return FollowerUpdate::Ignored;
         }
-        let newer = |old: &Warrant| {
-            let same = old.number == warrant.number && old.life == warrant.life;
+        let newer = |old: &Attestation| {
+            let same = old.number == warrant.number && old.incarnation == warrant.incarnation;
             if same {
-                warrant.said > old.said
+                warrant.issued_at_us > old.issued_at_us
             } else {
-                warrant.number.is_later(old.number) || warrant.said > old.said
+                warrant.number.is_later(old.number) || warrant.issued_at_us > old.issued_at_us
             }
         };
         if !self.warrants.get(&name).is_none_or(newer) {
-            return Taken::Nothing;
+            return FollowerUpdate::Ignored;
         }
         self.warrants.insert(name, warrant);
         self.settle()
     }
 
     /// How many of its voters vouch for a state.
-    fn vouchers(&self, agreed: &Agreed) -> usize {
+    fn vouchers(&self, agreed: &DecidedState) -> usize {
         let digest = agreed.digest();
         let vouches = |voter: &&Voter| {
-            self.warrants.get(&voter.name).is_some_and(|warrant| {
-                (warrant.life, warrant.number, warrant.digest) == (voter.life, agreed.number, digest)
+            self.warrants.get(&voter.node).is_some_and(|warrant| {
+                (warrant.incarnation, warrant.number, warrant.digest) == (voter.incarnation, agreed.number, digest)
             })
         };
         agreed.proposal.voters.iter().filter(vouches).count()
     }
 
-    fn settle(&mut self) -> Taken {
+    fn settle(&mut self) -> FollowerUpdate {
         let vouched =
             self.candidates.iter().filter(|agreed| self.vouchers(agreed) >= agreed.proposal.majority());
         let Some(best) = vouched.max_by_key(|agreed| (agreed.number.epoch, agreed.number.step)).cloned()
         else {
-            return Taken::New;
+            return FollowerUpdate::Recorded;
         };
         let number = best.number;
         self.believed = Some(best);
         self.candidates.retain(|agreed| agreed.number.is_later(number));
-        Taken::Later
+        FollowerUpdate::StateAdvanced
     }
 
     /// Until when the believed state may be acted on, on the own clock; look again right before each act.
-    pub fn holds_until(&self) -> Option<Moment> {
+    pub fn lease_end(&self) -> Option<Moment> {
         let agreed = self.believed.as_ref()?;
         let digest = agreed.digest();
         let mut said: Vec<Moment> = agreed
@@ -175,10 +175,10 @@
             .voters
             .iter()
             .filter_map(|voter| {
-                let warrant = self.warrants.get(&voter.name)?;
+                let warrant = self.warrants.get(&voter.node)?;
                 let fits =
-                    (warrant.life, warrant.number, warrant.digest) == (voter.life, agreed.number, digest);
-                fits.then_some(Moment::from_micros(warrant.said))
+                    (warrant.incarnation, warrant.number, warrant.digest) == (voter.incarnation, agreed.number, digest);
+                fits.then_some(Moment::from_micros(warrant.issued_at_us))
             })
             .collect();
         said.sort_by(|a, b| b.cmp(a));
@@ -188,8 +188,8 @@
     }
 
     /// The state that may be acted on now.
-    pub fn in_force(&self, now: Moment) -> Option<&Agreed> {
-        self.holds_until().filter(|until| now < *until)?;
+    pub fn in_force(&self, now: Moment) -> Option<&DecidedState> {
+        self.lease_end().filter(|until| now < *until)?;
         self.believed.as_ref()
     }
 }
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -6,11 +6,11 @@
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
 
-use crate::agreed::{Agreed, Ballot, Life, Name, Number, Proposal, Settled, VOTERS, Voter, micros};
-use crate::follow::Warrant;
-use crate::propose::Proposer;
-use crate::vote::{Acceptor, Refusal};
-use crate::words::{Said, read, write};
+use crate::state::{DecidedState, Ballot, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, MAX_VOTERS, Voter, micros};
+use crate::follower::Attestation;
+use crate::proposer::Proposer;
+use crate::acceptor::{Acceptor, VoteRefusal};
+use crate::messages::{Said, read, write};
 
 /// Periods without a word after which a voter counts as gone, and after which a majority counts as lost.
 const GONE_PERIODS: f64 = 4.0;
@@ -24,20 +24,20 @@
 
 /// How often and how long, and how much.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct AccordConfig {
     /// Between two words of a voter to the others.
-    pub period: Span,
+    pub heartbeat_period: Span,
     /// How long a warrant counts.
     pub lease: Span,
     /// By how much clocks may differ.
-    pub tolerance: Span,
+    pub clock_tolerance: Span,
     /// The longest content, in bytes.
-    pub content: usize,
+    pub max_content_bytes: usize,
 }
 
 /// What happened, under a stable name for log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum EventKind {
     Enlisted,
     Founded,
     Decided,
@@ -53,53 +53,53 @@
     TwoFoundings,
 }
 
-impl What {
+impl EventKind {
     pub fn name(self) -> &'static str {
         match self {
-            What::Enlisted => "accord_enlisted",
-            What::Founded => "accord_founded",
-            What::Decided => "accord_decided",
-            What::Overtaken => "accord_overtaken",
-            What::VoterGone => "accord_voter_gone",
-            What::VoterBack => "accord_voter_back",
-            What::Forgotten => "accord_forgotten",
-            What::MajorityLost => "accord_majority_lost",
-            What::MajorityBack => "accord_majority_back",
-            What::TwoFoundings => "accord_two_foundings",
+            EventKind::Enlisted => "accord_enlisted",
+            EventKind::Founded => "accord_founded",
+            EventKind::Decided => "accord_decided",
+            EventKind::Overtaken => "accord_overtaken",
+            EventKind::VoterGone => "accord_voter_gone",
+            EventKind::VoterBack => "accord_voter_back",
+            EventKind::Forgotten => "accord_forgotten",
+            EventKind::MajorityLost => "accord_majority_lost",
+            EventKind::MajorityBack => "accord_majority_back",
+            EventKind::TwoFoundings => "accord_two_foundings",
         }
     }
 }
 
 /// What the host is to do next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum Action {
     /// To one other, whom the host knows by that name and who has to know that it comes from here.
-    Send { to: Name, bytes: Vec<u8> },
+    Send { to: NodeId, bytes: Vec<u8> },
     /// To be signed and told to all, with the state that it vouches for.
-    Warrant(Warrant, Agreed),
+    Attest(Attestation, DecidedState),
     /// A state was decided, or learned of.
-    Decided(Agreed),
+    Decided(DecidedState),
     /// Worth a log line.
-    Event { what: What, voter: Option<Name>, number: Option<Number> },
+    Event { kind: EventKind, voter: Option<NodeId>, number: Option<StateNumber> },
 }
 
 /// Why nothing is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotProposed {
-    /// This life has no vote.
-    NoVote,
+pub enum ProposeError {
+    /// This incarnation has no vote.
+    NotAVoter,
     /// Another state than the one that it was meant to follow is the latest.
-    Moved,
+    StateChanged,
     /// Longer than allowed.
-    TooLong,
+    ContentTooLong,
     /// A proposal of this node is under way.
-    UnderWay,
+    ProposalPending,
 }
 
 /// What was last heard of another named voter.
 #[derive(Clone, Copy, Debug)]
 struct Heard {
-    life: Life,
+    incarnation: Incarnation,
     at: Moment,
     gone: bool,
     /// Whether it hears this node, and whether it reaches a majority both ways, as it last said.
@@ -116,19 +116,19 @@
 
 pub struct Node {
     me: Voter,
-    pace: Pace,
+    pace: AccordConfig,
     chance: Pcg32,
     acceptor: Acceptor,
     epoch: u64,
     /// Whom the operator's order names, by name.
-    named: Vec<Name>,
+    named: Vec<NodeId>,
     /// By name, as many lines as are named.
-    heard: BTreeMap<Name, Heard>,
+    heard: BTreeMap<NodeId, Heard>,
     /// Who would vote in an epoch that is not founded, with what each knows; as many lines as are named.
-    enlisted: BTreeMap<Name, (Life, Option<Settled>)>,
+    enlisted: BTreeMap<NodeId, (Incarnation, Option<DecisionRecord>)>,
     bid: Option<Bid>,
     /// What the host wants decided, and behind which state.
-    want: Option<(Number, Vec<u8>)>,
+    want: Option<(StateNumber, Vec<u8>)>,
     round: u64,
     /// Bids in a row that came to nothing, and when the next may be made.
     failed: u32,
@@ -139,19 +139,19 @@
     forgotten_told: bool,
     two_told: bool,
     /// Emptied as the host pulls; each input adds a few at most.
-    todo: VecDeque<Do>,
+    todo: VecDeque<Action>,
 }
 
 impl Node {
-    /// `life` is drawn by the host, anew at each start.
-    pub fn new(now: Moment, seed: u64, me: Voter, pace: Pace) -> Self {
+    /// `incarnation` is drawn by the host, anew at each start.
+    pub fn new(now: Moment, seed: u64, me: Voter, pace: AccordConfig) -> Self {
         let mut chance = Pcg32::seed_from_u64(seed);
-        let first = now + pace.period.times(chance.random::<f64>());
+        let first = now + pace.heartbeat_period.times(chance.random::<f64>());
         Self {
             me,
             pace,
             chance,
-            acceptor: Acceptor::new(me, pace.tolerance, pace.lease),
+            acceptor: Acceptor::new(me, pace.clock_tolerance, pace.lease),
             epoch: 0,
             named: Vec::new(),
             heard: BTreeMap::new(),
@@ -175,8 +175,8 @@
     }
 
     /// The latest decided state that this node knows, in force or not.
-    pub fn latest(&self) -> Option<&Agreed> {
-        self.acceptor.settled().map(|settled| &settled.agreed)
+    pub fn latest(&self) -> Option<&DecidedState> {
+        self.acceptor.latest().map(|settled| &settled.state)
     }
 
     pub fn is_voter(&self) -> bool {
@@ -185,8 +185,8 @@
 
     /// The operator's order: who votes in an epoch, one to seven. One of an epoch that is over says nothing; within the epoch
     /// the voters themselves change who they are, as far as the order names them.
-    pub fn ordered(&mut self, now: Moment, epoch: u64, named: &[Name]) {
-        if epoch < self.epoch || named.is_empty() || named.len() > VOTERS {
+    pub fn apply_voter_set(&mut self, now: Moment, epoch: u64, named: &[NodeId]) {
+        if epoch < self.epoch || named.is_empty() || named.len() > MAX_VOTERS {
             return;
         }
         if epoch > self.epoch {
@@ -203,7 +203,7 @@
     }
 
     /// The order of an epoch does not name this node: it has no part in it.
-    pub fn released(&mut self, epoch: u64) {
+    pub fn exclude_from_epoch(&mut self, epoch: u64) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.named.clear();
@@ -215,11 +215,11 @@
 
     /// Whether this node is the one that proposes, as far as it sees: the first of the voters that live and reach a majority
     /// both ways. Threat: a first voter that hears all and is heard by few, or the reverse, would keep all others from it.
-    pub fn acts(&self, now: Moment) -> bool {
+    pub fn is_designated_proposer(&self, now: Moment) -> bool {
         let Some(agreed) = self.latest().filter(|_| self.fit(now)) else { return false };
-        let mut before = agreed.proposal.voters.iter().take_while(|voter| voter.name < self.me.name);
+        let mut before = agreed.proposal.voters.iter().take_while(|voter| voter.node < self.me.node);
         before.all(|voter| {
-            !self.lives(now, *voter) || !self.heard.get(&voter.name).is_some_and(|heard| heard.fit)
+            !self.lives(now, *voter) || !self.heard.get(&voter.node).is_some_and(|heard| heard.fit)
         })
     }
 
@@ -227,30 +227,30 @@
     fn fit(&self, now: Moment) -> bool {
         let Some(agreed) = self.latest().filter(|_| self.is_voter()) else { return false };
         let both = |voter: &&Voter| {
-            let hears_me = || self.heard.get(&voter.name).is_some_and(|heard| heard.hears_me);
+            let hears_me = || self.heard.get(&voter.node).is_some_and(|heard| heard.hears_me);
             **voter == self.me || (self.lives(now, **voter) && hears_me())
         };
         agreed.proposal.voters.iter().filter(both).count() >= agreed.proposal.majority()
     }
 
     fn lives(&self, now: Moment, voter: Voter) -> bool {
-        let recent = |heard: &&Heard| now.since(heard.at) < self.pace.period.times(GONE_PERIODS);
+        let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.times(GONE_PERIODS);
         voter == self.me
-            || self.heard.get(&voter.name).filter(recent).is_some_and(|heard| heard.life == voter.life)
+            || self.heard.get(&voter.node).filter(recent).is_some_and(|heard| heard.incarnation == voter.incarnation)
     }
 
-    /// Wants `content` decided as what follows `after`. What comes of it is [`Do::Decided`]; where another proposal came
-    /// first, [`What::Overtaken`] says so, and the host looks again at what it wants.
-    pub fn propose(&mut self, now: Moment, after: Number, content: Vec<u8>) -> Result<(), NotProposed> {
-        let Some(latest) = self.latest().filter(|_| self.is_voter()) else { return Err(NotProposed::NoVote) };
+    /// Wants `content` decided as what follows `after`. What comes of it is [`Action::Decided`]; where another proposal came
+    /// first, [`EventKind::Overtaken`] says so, and the host looks again at what it wants.
+    pub fn propose(&mut self, now: Moment, after: StateNumber, content: Vec<u8>) -> Result<(), ProposeError> {
+        let Some(latest) = self.latest().filter(|_| self.is_voter()) else { return Err(ProposeError::NotAVoter) };
         if latest.number != after {
-            return Err(NotProposed::Moved);
+            return Err(ProposeError::StateChanged);
         }
-        if content.len() > self.pace.content {
-            return Err(NotProposed::TooLong);
+        if content.len() > self.pace.max_content_bytes {
+            return Err(ProposeError::ContentTooLong);
         }
         if self.want.is_some() {
-            return Err(NotProposed::UnderWay);
+            return Err(ProposeError::ProposalPending);
         }
         self.want = Some((after, content));
         self.bid_at = self.bid_at.min(now);
@@ -258,12 +258,12 @@
     }
 
     /// A word from another, whom the host knows to be `from`.
-    pub fn heard(&mut self, now: Moment, from: Name, bytes: &[u8]) {
-        if from == self.me.name || !self.named.contains(&from) {
+    pub fn receive(&mut self, now: Moment, from: NodeId, bytes: &[u8]) {
+        if from == self.me.node || !self.named.contains(&from) {
             return;
         }
-        let Some((life, said)) = read(bytes) else { return };
-        let voter = Voter { name: from, life };
+        let Some((incarnation, said)) = read(bytes) else { return };
+        let voter = Voter { node: from, incarnation };
         if !self.lives_on(now, voter) {
             return;
         }
@@ -277,7 +277,7 @@
             }
             Said::Prepare { number, ballot } => self.asked(now, voter, number, ballot, None),
             Said::Accept { number, ballot, proposal } => {
-                if proposal.is_sound(self.pace.content) {
+                if proposal.is_valid(self.pace.max_content_bytes) {
                     self.asked(now, voter, number, ballot, Some(proposal));
                 }
             }
@@ -299,65 +299,65 @@
     /// Lives are drawn so that later starts are greater. What an earlier one said may still come in late, and counts for
     /// nothing while the later one lives; a clock that went back at a start is waited out.
     fn lives_on(&mut self, now: Moment, voter: Voter) -> bool {
-        let old = self.heard.get(&voter.name);
-        let gone_after = self.pace.period.times(GONE_PERIODS);
-        if old.is_some_and(|old| old.life > voter.life && now.since(old.at) < gone_after) {
+        let old = self.heard.get(&voter.node);
+        let gone_after = self.pace.heartbeat_period.times(GONE_PERIODS);
+        if old.is_some_and(|old| old.incarnation > voter.incarnation && now.since(old.at) < gone_after) {
             return false;
         }
-        let same = old.filter(|old| old.life == voter.life);
+        let same = old.filter(|old| old.incarnation == voter.incarnation);
         let (hears_me, fit) = same.map_or((false, false), |old| (old.hears_me, old.fit));
-        let new = Heard { life: voter.life, at: now, gone: false, hears_me, fit };
-        let old = self.heard.insert(voter.name, new);
+        let new = Heard { incarnation: voter.incarnation, at: now, gone: false, hears_me, fit };
+        let old = self.heard.insert(voter.node, new);
         if old.is_some_and(|old| old.gone) {
-            self.event(What::VoterBack, Some(voter.name));
+            self.event(EventKind::VoterBack, Some(voter.node));
         }
         true
     }
 
-    fn event(&mut self, what: What, voter: Option<Name>) {
+    fn event(&mut self, kind: EventKind, voter: Option<NodeId>) {
         let number = self.latest().map(|agreed| agreed.number);
-        self.todo.push_back(Do::Event { what, voter, number });
+        self.todo.push_back(Action::Event { kind, voter, number });
     }
 
     /// Said once an epoch: each word of a voter of the other founding would say it again.
-    fn two_foundings(&mut self, voter: Option<Name>) {
+    fn two_foundings(&mut self, voter: Option<NodeId>) {
         if !std::mem::replace(&mut self.two_told, true) {
-            self.event(What::TwoFoundings, voter);
+            self.event(EventKind::TwoFoundings, voter);
         }
     }
 
-    fn send(&mut self, to: Name, said: &Said) {
-        self.todo.push_back(Do::Send { to, bytes: write(self.me.life, said) });
+    fn send(&mut self, to: NodeId, said: &Said) {
+        self.todo.push_back(Action::Send { to, bytes: write(self.me.incarnation, said) });
     }
 
     /// Who is behind is told the latest state; who is ahead will tell it.
-    fn bring_up_to_date(&mut self, voter: Voter, knows: Option<Number>) {
-        let Some(settled) = self.acceptor.settled() else { return };
-        let own = settled.agreed.number;
-        if knows.is_some_and(|knows| !knows.is_kin(own)) {
-            self.two_foundings(Some(voter.name));
+    fn bring_up_to_date(&mut self, voter: Voter, knows: Option<StateNumber>) {
+        let Some(settled) = self.acceptor.latest() else { return };
+        let own = settled.state.number;
+        if knows.is_some_and(|knows| !knows.shares_history_with(own)) {
+            self.two_foundings(Some(voter.node));
         } else if knows.is_none_or(|knows| own.is_later(knows)) {
-            self.send(voter.name, &Said::Learn(settled.clone()));
+            self.send(voter.node, &Said::Learn(settled.clone()));
         }
     }
 
-    /// Another life offers its vote. Where the epoch has a state, it is told of it and named by the next one. Where it has
+    /// Another incarnation offers its vote. Where the epoch has a state, it is told of it and named by the next one. Where it has
     /// none, the first of the named founds it once all of them know of none: not one less, as that one might remember.
-    fn enlist(&mut self, now: Moment, voter: Voter, epoch: u64, knows: Option<Settled>) {
+    fn enlist(&mut self, now: Moment, voter: Voter, epoch: u64, knows: Option<DecisionRecord>) {
         if epoch != self.epoch {
             return;
         }
         if self.founded() {
-            return self.bring_up_to_date(voter, knows.map(|known| known.agreed.number));
+            return self.bring_up_to_date(voter, knows.map(|known| known.state.number));
         }
         if let Some(settled) = &knows
-            && settled.agreed.number.epoch == epoch
+            && settled.state.number.epoch == epoch
         {
             return self.learn(now, settled.clone());
         }
         // What could not be founded on would keep the epoch from being founded at all.
-        let knows = knows.filter(|known| known.agreed.proposal.is_sound(self.pace.content));
-        self.enlisted.insert(voter.name, (voter.life, knows));
+        let knows = knows.filter(|known| known.state.proposal.is_valid(self.pace.max_content_bytes));
+        self.enlisted.insert(voter.node, (voter.incarnation, knows));
         self.found(now);
     }
 
@@ -367,57 +367,57 @@
 
     /// The content of the latest earlier epoch that any of them knows is carried on.
     fn found(&mut self, now: Moment) {
-        let all = self.named.iter().all(|name| *name == self.me.name || self.enlisted.contains_key(name));
-        if self.named.first() != Some(&self.me.name) || self.founded() || !all {
+        let all = self.named.iter().all(|name| *name == self.me.node || self.enlisted.contains_key(name));
+        if self.named.first() != Some(&self.me.node) || self.founded() || !all {
             return;
         }
-        let voter = |name: &Name| {
-            let life = self.enlisted.get(name).map_or(self.me.life, |(life, _)| *life);
-            Voter { name: *name, life }
+        let voter = |name: &NodeId| {
+            let incarnation = self.enlisted.get(name).map_or(self.me.incarnation, |(incarnation, _)| *incarnation);
+            Voter { node: *name, incarnation }
         };
         let voters: Vec<Voter> = self.named.iter().map(voter).collect();
         let known = self.enlisted.values().filter_map(|(_, knows)| knows.as_ref());
-        let latest = known.chain(self.acceptor.settled()).max_by_key(|known| {
-            let number = known.agreed.number;
+        let latest = known.chain(self.acceptor.latest()).max_by_key(|known| {
+            let number = known.state.number;
             (number.epoch, number.step)
         });
-        let content = latest.map(|known| known.agreed.proposal.content.clone()).unwrap_or_default();
+        let content = latest.map(|known| known.state.proposal.content.clone()).unwrap_or_default();
         let founding = self.chance.random();
-        let number = Number { epoch: self.epoch, step: 0, founding };
-        let agreed = Agreed { number, proposal: Proposal { voters, content } };
+        let number = StateNumber { epoch: self.epoch, step: 0, founding_id: founding };
+        let agreed = DecidedState { number, proposal: Proposal { voters, content } };
         // Warrants of the epoch before may be held for so long.
-        let clear = micros(now + self.pace.lease + self.pace.tolerance);
-        self.event(What::Founded, None);
-        self.learn(now, Settled { agreed, clear });
+        let clear = micros(now + self.pace.lease + self.pace.clock_tolerance);
+        self.event(EventKind::Founded, None);
+        self.learn(now, DecisionRecord { state: agreed, previous_lease_end_us: clear });
         self.tell_all();
     }
 
     /// The other named.
-    fn others(&self) -> Vec<Name> {
-        self.named.iter().copied().filter(|name| *name != self.me.name).collect()
+    fn others(&self) -> Vec<NodeId> {
+        self.named.iter().copied().filter(|name| *name != self.me.node).collect()
     }
 
     fn tell_all(&mut self) {
-        let Some(settled) = self.acceptor.settled().cloned() else { return };
+        let Some(settled) = self.acceptor.latest().cloned() else { return };
         for name in self.others() {
             self.send(name, &Said::Learn(settled.clone()));
         }
     }
 
     /// Takes in a decided state, from a voter or from what all routers tell each other.
-    pub fn learn(&mut self, now: Moment, settled: Settled) {
-        let number = settled.agreed.number;
-        let sound = settled.agreed.proposal.is_sound(self.pace.content);
+    pub fn learn(&mut self, now: Moment, settled: DecisionRecord) {
+        let number = settled.state.number;
+        let sound = settled.state.proposal.is_valid(self.pace.max_content_bytes);
         // Threat: a clock far ahead in a clear time would hold up all further votes.
-        let longest = micros(now + (self.pace.lease + self.pace.tolerance).times(2.0));
+        let longest = micros(now + (self.pace.lease + self.pace.clock_tolerance).times(2.0));
         // Only the operator's order begins an epoch; a state of one that is not ordered here yet comes again.
-        if number.epoch != self.epoch || !sound || settled.clear > longest {
+        if number.epoch != self.epoch || !sound || settled.previous_lease_end_us > longest {
             return;
         }
-        if self.latest().is_some_and(|known| !known.number.is_kin(number)) {
+        if self.latest().is_some_and(|known| !known.number.shares_history_with(number)) {
             return self.two_foundings(None);
         }
-        let agreed = settled.agreed.clone();
+        let agreed = settled.state.clone();
         if !self.acceptor.learn(settled) {
             return;
         }
@@ -426,22 +426,22 @@
         let overtaken = self.want.as_ref().is_some_and(|(_, content)| *content != agreed.proposal.content);
         // A change of voters alone leaves the content, and what was wanted is to be looked at again.
         if self.want.take().is_some() && overtaken {
-            self.event(What::Overtaken, None);
+            self.event(EventKind::Overtaken, None);
         }
         self.bid = None;
         (self.bid_at, self.warrant_at) = (now, now);
-        self.todo.push_back(Do::Decided(agreed.clone()));
-        self.event(What::Decided, None);
+        self.todo.push_back(Action::Decided(agreed.clone()));
+        self.event(EventKind::Decided, None);
         if !self.is_voter()
-            && self.named.contains(&self.me.name)
+            && self.named.contains(&self.me.node)
             && !std::mem::replace(&mut self.forgotten_told, true)
         {
-            self.event(What::Forgotten, None);
+            self.event(EventKind::Forgotten, None);
         }
     }
 
     /// A proposer asks for a promise, or to have its proposal accepted.
-    fn asked(&mut self, now: Moment, by: Voter, number: Number, ballot: Ballot, proposal: Option<Proposal>) {
+    fn asked(&mut self, now: Moment, by: Voter, number: StateNumber, ballot: Ballot, proposal: Option<Proposal>) {
         // Who heard of a later epoch votes in no earlier one.
         if ballot.by != by || number.epoch != self.epoch {
             return;
@@ -459,39 +459,39 @@
                 .map(|until| Said::Accepted { number, ballot, attested_until: micros(until) }),
         };
         match said {
-            Ok(said) => self.send(by.name, &said),
-            Err(Refusal::Outbid(by_whom)) => self.send(by.name, &Said::Outbid { number, by: by_whom }),
-            Err(Refusal::Elsewhere) => {
+            Ok(said) => self.send(by.node, &said),
+            Err(VoteRefusal::HigherBallot(by_whom)) => self.send(by.node, &Said::Outbid { number, by: by_whom }),
+            Err(VoteRefusal::OtherNumber) => {
                 let behind = self.latest().is_some_and(|own| !number.is_later(own.number));
-                if let Some(settled) = self.acceptor.settled().filter(|_| behind).cloned() {
-                    self.send(by.name, &Said::Learn(settled));
+                if let Some(settled) = self.acceptor.latest().filter(|_| behind).cloned() {
+                    self.send(by.node, &Said::Learn(settled));
                 }
             }
-            Err(Refusal::NoVote | Refusal::NotYet) => {}
+            Err(VoteRefusal::NotAVoter | VoteRefusal::PreviousLeaseActive) => {}
         }
     }
 
     fn promised(
-        &mut self, now: Moment, voter: Voter, number: Number, ballot: Ballot,
+        &mut self, now: Moment, voter: Voter, number: StateNumber, ballot: Ballot,
         accepted: Option<(Ballot, Proposal)>,
     ) {
-        let sound = accepted.as_ref().is_none_or(|(_, proposal)| proposal.is_sound(self.pace.content));
+        let sound = accepted.as_ref().is_none_or(|(_, proposal)| proposal.is_valid(self.pace.max_content_bytes));
         let own = self.bid.as_mut().map(|bid| &mut bid.proposer);
         let Some(bid) = own.filter(|bid| bid.number == number && sound) else { return };
-        let Some(proposal) = bid.promised(voter, ballot, accepted) else { return };
+        let Some(proposal) = bid.receive_promise(voter, ballot, accepted) else { return };
         let others: Vec<Voter> = bid.voters().iter().copied().filter(|voter| *voter != self.me).collect();
         for other in others {
-            self.send(other.name, &Said::Accept { number, ballot, proposal: proposal.clone() });
+            self.send(other.node, &Said::Accept { number, ballot, proposal: proposal.clone() });
         }
         if let Ok(until) = self.acceptor.accept(now, number, ballot, proposal) {
             self.accepted(now, self.me, number, ballot, until);
         }
     }
 
-    fn accepted(&mut self, now: Moment, voter: Voter, number: Number, ballot: Ballot, until: Moment) {
+    fn accepted(&mut self, now: Moment, voter: Voter, number: StateNumber, ballot: Ballot, until: Moment) {
         let own = self.bid.as_mut().map(|bid| &mut bid.proposer);
         let Some(bid) = own.filter(|bid| bid.number == number) else { return };
-        if let Some(settled) = bid.accepted(voter, ballot, until) {
+        if let Some(settled) = bid.receive_accepted(voter, ballot, until) {
             self.learn(now, settled);
             self.tell_all();
         }
@@ -499,7 +499,7 @@
 
     /// How long answers to a bid may take: the way there and back is not known beforehand.
     fn patience(&self) -> Span {
-        self.pace.period.times(BID_PERIODS * f64::from(1 << self.failed))
+        self.pace.heartbeat_period.times(BID_PERIODS * f64::from(1 << self.failed))
     }
 
     /// Asks those again that did not answer, a few times.
@@ -510,13 +510,13 @@
         };
         (bid.due, bid.asked) = (due, bid.asked + 1);
         let (number, ballot) = (bid.proposer.number, bid.proposer.ballot);
-        let said = match bid.proposer.deciding() {
+        let said = match bid.proposer.proposal_to_accept() {
             None => Said::Prepare { number, ballot },
             Some(proposal) => Said::Accept { number, ballot, proposal: proposal.clone() },
         };
-        for voter in bid.proposer.open() {
+        for voter in bid.proposer.unanswered() {
             if voter != self.me {
-                self.send(voter.name, &said);
+                self.send(voter.node, &said);
             }
         }
     }
@@ -524,7 +524,7 @@
     fn give_up_bid(&mut self, now: Moment) {
         if self.bid.take().is_some() {
             self.failed = (self.failed + 1).min(DOUBLINGS);
-            let pause = self.pace.period.times(f64::from(1 << self.failed) * self.chance.random::<f64>());
+            let pause = self.pace.heartbeat_period.times(f64::from(1 << self.failed) * self.chance.random::<f64>());
             self.bid_at = now + pause;
         }
     }
@@ -533,7 +533,7 @@
     fn due_proposal(&self, now: Moment) -> Option<Proposal> {
         let latest = self.latest().filter(|_| self.is_voter() && self.founded())?;
         let voters = self.due_voters(now, latest);
-        let change = voters != latest.proposal.voters && self.acts(now);
+        let change = voters != latest.proposal.voters && self.is_designated_proposer(now);
         let voters = if change { voters } else { latest.proposal.voters.clone() };
         match &self.want {
             Some((_, content)) => Some(Proposal { voters, content: content.clone() }),
@@ -541,24 +541,24 @@
         }
     }
 
-    /// The named, each in the life that was last heard. Of those never heard by this node, the life that the latest state
+    /// The named, each in the incarnation that was last heard. Of those never heard by this node, the incarnation that the latest state
     /// names stays; a voter that the order names no more goes.
-    fn due_voters(&self, now: Moment, latest: &Agreed) -> Vec<Voter> {
+    fn due_voters(&self, now: Moment, latest: &DecidedState) -> Vec<Voter> {
         let of_latest =
-            |name: &Name| latest.proposal.voters.iter().find(|voter| voter.name == *name).copied();
+            |name: &NodeId| latest.proposal.voters.iter().find(|voter| voter.node == *name).copied();
         let due = self.named.iter().filter_map(|name| {
-            if *name == self.me.name {
+            if *name == self.me.node {
                 return Some(self.me);
             }
-            let recent = |heard: &&Heard| now.since(heard.at) < self.pace.period.times(GONE_PERIODS);
+            let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.times(GONE_PERIODS);
             let heard = self.heard.get(name).filter(recent);
-            heard.map(|heard| Voter { name: *name, life: heard.life }).or_else(|| of_latest(name))
+            heard.map(|heard| Voter { node: *name, incarnation: heard.incarnation }).or_else(|| of_latest(name))
         });
         due.collect()
     }
 
-    /// When [`next`](Self::next) is to be asked again, if nothing comes in.
-    pub fn due(&self) -> Option<Moment> {
+    /// When [`next_action`](Self::next_action) is to be asked again, if nothing comes in.
+    pub fn next_deadline(&self) -> Option<Moment> {
         if self.named.is_empty() {
             return None;
         }
@@ -567,7 +567,7 @@
         [Some(self.beat_at), bid, warrant].into_iter().flatten().min()
     }
 
-    pub fn next(&mut self, now: Moment) -> Option<Do> {
+    pub fn next_action(&mut self, now: Moment) -> Option<Action> {
         if !self.named.is_empty() && self.todo.is_empty() {
             self.pass_time(now);
         }
@@ -576,7 +576,7 @@
 
     fn pass_time(&mut self, now: Moment) {
         if now >= self.beat_at {
-            self.beat_at = now + self.pace.period;
+            self.beat_at = now + self.pace.heartbeat_period;
             self.beat(now);
         }
         if self.is_voter() && now >= self.warrant_at {
@@ -598,25 +598,25 @@
         if let Some(number) = self.acceptor.attest(now)
             && let Some(agreed) = self.latest().cloned()
         {
-            let (life, digest) = (self.me.life, agreed.digest());
-            let warrant = Warrant { life, number, digest, said: micros(now) };
-            self.todo.push_back(Do::Warrant(warrant, agreed));
+            let (incarnation, digest) = (self.me.incarnation, agreed.digest());
+            let warrant = Attestation { incarnation, number, digest, issued_at_us: micros(now) };
+            self.todo.push_back(Action::Attest(warrant, agreed));
         }
     }
 
-    /// Tells the other named that this life goes on; offers its vote where it has none.
+    /// Tells the other named that this incarnation goes on; offers its vote where it has none.
     fn beat(&mut self, now: Moment) {
-        let named = self.named.contains(&self.me.name);
-        let knows = self.acceptor.settled().cloned();
-        let number = knows.as_ref().map(|known| known.agreed.number);
+        let named = self.named.contains(&self.me.node);
+        let knows = self.acceptor.latest().cloned();
+        let number = knows.as_ref().map(|known| known.state.number);
         let said = if named && !self.founded() {
             self.found(now);
             Said::Enlist { epoch: self.epoch, knows }
         } else {
             let recent =
-                |(_, heard): &(&Name, &Heard)| now.since(heard.at) < self.pace.period.times(GONE_PERIODS);
+                |(_, heard): &(&NodeId, &Heard)| now.since(heard.at) < self.pace.heartbeat_period.times(GONE_PERIODS);
             let hears =
-                self.heard.iter().filter(recent).map(|(name, heard)| Voter { name: *name, life: heard.life });
+                self.heard.iter().filter(recent).map(|(name, heard)| Voter { node: *name, incarnation: heard.incarnation });
             Said::Beat { knows: number, hears: hears.collect(), fit: self.fit(now) }
         };
         if named {
@@ -624,8 +624,8 @@
                 self.send(name, &said);
             }
         }
-        let gone_after = self.pace.period.times(GONE_PERIODS);
-        let gone: Vec<Name> = self
+        let gone_after = self.pace.heartbeat_period.times(GONE_PERIODS);
+        let gone: Vec<NodeId> = self
             .heard
             .iter_mut()
             .filter(|(_, heard)| !heard.gone && now.since(heard.at) >= gone_after)
@@ -635,33 +635,33 @@
             })
             .collect();
         for name in gone {
-            self.event(What::VoterGone, Some(name));
+            self.event(EventKind::VoterGone, Some(name));
         }
         if !self.is_voter() {
             return;
         }
         let lost = !self.fit(now);
         if lost != std::mem::replace(&mut self.lost, lost) {
-            self.event(if lost { What::MajorityLost } else { What::MajorityBack }, None);
+            self.event(if lost { EventKind::MajorityLost } else { EventKind::MajorityBack }, None);
         }
     }
 
     /// Bids for the next number if there is something to decide. Without a majority there is no use in it.
     fn begin_bid(&mut self, now: Moment) {
         let Some(want) = self.due_proposal(now) else { return };
-        let Some(settled) = self.acceptor.settled() else { return };
-        if now < settled.open_at(self.pace.tolerance) || self.lost {
+        let Some(settled) = self.acceptor.latest() else { return };
+        if now < settled.voting_opens_at(self.pace.clock_tolerance) || self.lost {
             return;
         }
         self.round += 1;
         let ballot = Ballot { round: self.round, by: self.me };
-        let Some(bid) = Proposer::bid(&settled.agreed, ballot, want) else { return };
+        let Some(bid) = Proposer::start(&settled.state, ballot, want) else { return };
         let (number, voters) = (bid.number, bid.voters().to_vec());
         let due = now + self.patience();
         self.bid = Some(Bid { proposer: bid, due, asked: 1 });
         for voter in voters {
             if voter != self.me {
-                self.send(voter.name, &Said::Prepare { number, ballot });
+                self.send(voter.node, &Said::Prepare { number, ballot });
             }
         }
         if let Ok(accepted) = self.acceptor.prepare(now, number, ballot) {
--- a/crates/accord/src/propose.rs
+++ b/crates/accord/src/proposer.rs
@@ -4,7 +4,7 @@
 
 use woadhook::Moment;
 
-use crate::agreed::{Agreed, Ballot, Number, Proposal, Settled, Voter, micros};
+use crate::state::{DecidedState, Ballot, StateNumber, Proposal, DecisionRecord, Voter, micros};
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Stage {
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
-    pub number: Number,
+    pub number: StateNumber,
     pub ballot: Ballot,
     want: Proposal,
     /// Those that vote on this number: no others' words count.
@@ -27,7 +27,7 @@
 
 impl Proposer {
     /// A bid for what follows a state. None behind the last of all numbers.
-    pub fn bid(after: &Agreed, ballot: Ballot, want: Proposal) -> Option<Self> {
+    pub fn start(after: &DecidedState, ballot: Ballot, want: Proposal) -> Option<Self> {
         let voters = after.proposal.voters.clone();
         let (number, majority) = (after.number.next()?, after.proposal.majority());
         Some(Self { number, ballot, want, voters, majority, stage: Stage::Asking(BTreeMap::new()) })
@@ -42,7 +42,7 @@
     }
 
     /// What is being decided, once a majority has promised.
-    pub fn deciding(&self) -> Option<&Proposal> {
+    pub fn proposal_to_accept(&self) -> Option<&Proposal> {
         match &self.stage {
             Stage::Deciding(proposal, _) => Some(proposal),
             Stage::Asking(_) => None,
@@ -50,7 +50,7 @@
     }
 
     /// Those that have not said yet what this stage asks of them.
-    pub fn open(&self) -> Vec<Voter> {
+    pub fn unanswered(&self) -> Vec<Voter> {
         let said = |voter: &Voter| match &self.stage {
             Stage::Asking(promises) => promises.contains_key(voter),
             Stage::Deciding(_, acks) => acks.contains_key(voter),
@@ -60,7 +60,7 @@
 
     /// A voter promised. Gives what to have accepted, when a majority has: what may have been decided already, if any voter
     /// of that majority accepted something, else what this proposer wants.
-    pub fn promised(
+    pub fn receive_promise(
         &mut self, voter: Voter, ballot: Ballot, accepted: Option<(Ballot, Proposal)>,
     ) -> Option<Proposal> {
         if !self.counts(voter, ballot) {
@@ -78,7 +78,7 @@
     }
 
     /// A voter accepted. Gives the decided state, when a majority has.
-    pub fn accepted(&mut self, voter: Voter, ballot: Ballot, attested_until: Moment) -> Option<Settled> {
+    pub fn receive_accepted(&mut self, voter: Voter, ballot: Ballot, attested_until: Moment) -> Option<DecisionRecord> {
         if !self.counts(voter, ballot) {
             return None;
         }
@@ -88,7 +88,7 @@
             return None;
         }
         let clear = acks.values().max().copied().unwrap_or_default();
-        let agreed = Agreed { number: self.number, proposal: proposal.clone() };
-        Some(Settled { agreed, clear: micros(clear) })
+        let agreed = DecidedState { number: self.number, proposal: proposal.clone() };
+        Some(DecisionRecord { state: agreed, previous_lease_end_us: micros(clear) })
     }
 }
--- a/crates/accord/src/agreed.rs
+++ b/crates/accord/src/state.rs
@@ -5,86 +5,86 @@
 use woadhook::{Moment, Span};
 
 /// The most voters.
-pub const VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// A router, by a hash of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name(pub u64);
+pub struct NodeId(pub u64);
 
 /// One start of a router from nothing, drawn anew at each: the time of the start in the high bits, chance in the low ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
 /// Who may vote: this start of this router, and no other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
-    pub name: Name,
-    pub life: Life,
+    pub node: NodeId,
+    pub incarnation: Incarnation,
 }
 
-/// A bid for one number. No two proposers ever make the same, as each life has its own.
+/// A bid for one number. No two proposers ever make the same, as each incarnation has its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
     pub by: Voter,
 }
 
-/// Which state. Epochs are ordered by the operator, steps decided by the voters. `founding` tells apart two foundings of one
+/// Which state. Epochs are ordered by the operator, steps decided by the voters. `founding_id` tells apart two foundings of one
 /// epoch, which can come about only if all who remembered the first are gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number {
+pub struct StateNumber {
     pub epoch: u64,
     pub step: u64,
-    pub founding: u64,
+    pub founding_id: u64,
 }
 
-impl Number {
+impl StateNumber {
     /// The number decided next; none at the end of all numbers, where the operator has to order another epoch.
     pub fn next(self) -> Option<Self> {
         self.step.checked_add(1).map(|step| Self { step, ..self })
     }
 
-    pub fn is_later(self, than: Number) -> bool {
+    pub fn is_later(self, than: StateNumber) -> bool {
         (self.epoch, self.step) > (than.epoch, than.step)
     }
 
     /// Whether both can be of one history.
-    pub fn is_kin(self, other: Number) -> bool {
-        self.epoch != other.epoch || self.founding == other.founding
+    pub fn shares_history_with(self, other: StateNumber) -> bool {
+        self.epoch != other.epoch || self.founding_id == other.founding_id
     }
 }
 
 /// What is voted on: the content, and who votes on what follows it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// One to [`VOTERS`], by name, none twice.
+    /// One to [`MAX_VOTERS`], by name, none twice.
     pub voters: Vec<Voter>,
     pub content: Vec<u8>,
 }
 
 impl Proposal {
-    pub fn is_sound(&self, most_content: usize) -> bool {
-        let rising = self.voters.windows(2).all(|two| two[0].name < two[1].name);
-        rising && (1..=VOTERS).contains(&self.voters.len()) && self.content.len() <= most_content
+    pub fn is_valid(&self, most_content: usize) -> bool {
+        let rising = self.voters.windows(2).all(|two| two[0].node < two[1].node);
+        rising && (1..=MAX_VOTERS).contains(&self.voters.len()) && self.content.len() <= most_content
     }
 
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    pub fn has(&self, voter: Voter) -> bool {
+    pub fn contains_voter(&self, voter: Voter) -> bool {
         self.voters.contains(&voter)
     }
 }
 
 /// A decided state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Agreed {
-    pub number: Number,
+pub struct DecidedState {
+    pub number: StateNumber,
     pub proposal: Proposal,
 }
 
-impl Agreed {
+impl DecidedState {
     /// What stands for it in warrants.
     pub fn digest(&self) -> u64 {
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
@@ -95,17 +95,17 @@
 
 /// A decided state as voters pass it on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Settled {
-    pub agreed: Agreed,
+pub struct DecisionRecord {
+    pub state: DecidedState,
     /// Microseconds of Unix time at which the last warrant for the state before runs out, on its giver's clock: nothing that
     /// comes after this state may be voted on before.
-    pub clear: u64,
+    pub previous_lease_end_us: u64,
 }
 
-impl Settled {
+impl DecisionRecord {
     /// When voting on the next may begin, on any clock within the tolerance.
-    pub fn open_at(&self, tolerance: Span) -> Moment {
-        Moment::from_micros(self.clear) + tolerance
+    pub fn voting_opens_at(&self, tolerance: Span) -> Moment {
+        Moment::from_micros(self.previous_lease_end_us) + tolerance
     }
 }
 
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -6,12 +6,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
-use woadhook_accord::{Agreed, Do, Follower, Life, Name, Node, Number, Pace, Voter, Warrant, What};
+use woadhook_accord::{DecidedState, Action, Follower, Incarnation, NodeId, Node, StateNumber, AccordConfig, Voter, Attestation, EventKind};
 
 pub const START: u64 = 1_780_000_000_000_000;
 
-pub fn pace() -> Pace {
-    Pace { period: millis(100), lease: millis(6_000), tolerance: millis(2_000), content: 640 }
+pub fn pace() -> AccordConfig {
+    AccordConfig { heartbeat_period: millis(100), lease: millis(6_000), clock_tolerance: millis(2_000), max_content_bytes: 640 }
 }
 
 pub fn millis(count: u64) -> Span {
@@ -27,17 +27,17 @@
     pub stopped: Option<Moment>,
     waiting: Vec<Flight>,
     /// What it last acted on.
-    pub acts_on: Option<Number>,
+    pub acts_on: Option<StateNumber>,
 }
 
 #[derive(Clone)]
 enum Flight {
-    Words { from: Name, bytes: Vec<u8> },
-    Warrant { from: Name, warrant: Warrant, agreed: Agreed },
+    Words { from: NodeId, bytes: Vec<u8> },
+    Warrant { from: NodeId, warrant: Attestation, agreed: DecidedState },
 }
 
 pub struct World {
-    pub pace: Pace,
+    pub pace: AccordConfig,
     pub now: Moment,
     pub chance: Pcg32,
     pub places: Vec<Place>,
@@ -51,8 +51,8 @@
     count: u64,
     epoch: u64,
     /// Every state that was decided anywhere, by number.
-    pub decided: BTreeMap<Number, Agreed>,
-    pub told: Vec<(usize, What)>,
+    pub decided: BTreeMap<StateNumber, DecidedState>,
+    pub told: Vec<(usize, EventKind)>,
     /// Checked at each step; what was found broken first.
     pub broken: Option<String>,
 }
@@ -63,13 +63,13 @@
         Self::with(pace(), seed, voters, places)
     }
 
-    pub fn with(pace: Pace, seed: u64, voters: usize, places: usize) -> Self {
+    pub fn with(pace: AccordConfig, seed: u64, voters: usize, places: usize) -> Self {
         let mut chance = Pcg32::seed_from_u64(seed);
         let now = Moment::from_micros(START);
         let all = (0..places).map(|_| Place {
             node: None,
-            follower: Follower::new(pace.tolerance, pace.lease, pace.content),
-            ahead: pace.tolerance.times(chance.random::<f64>()),
+            follower: Follower::new(pace.clock_tolerance, pace.lease, pace.max_content_bytes),
+            ahead: pace.clock_tolerance.times(chance.random::<f64>()),
             stopped: None,
             waiting: Vec::new(),
             acts_on: None,
@@ -100,21 +100,21 @@
         self.now + self.places[place].ahead
     }
 
-    fn names(&self) -> Vec<Name> {
-        (0..self.voters as u64).map(Name).collect()
+    fn names(&self) -> Vec<NodeId> {
+        (0..self.voters as u64).map(NodeId).collect()
     }
 
     /// Starts a router from nothing, told the operator's order.
     pub fn start(&mut self, place: usize) {
         let now = self.clock(place);
         let drawn = self.now.since(Moment::default()).micros() << 8 | self.chance.random_range(0..256_u64);
-        let me = Voter { name: Name(place as u64), life: Life(drawn) };
+        let me = Voter { node: NodeId(place as u64), incarnation: Incarnation(drawn) };
         let seed = self.chance.random();
-        let mut follower = Follower::new(self.pace.tolerance, self.pace.lease, self.pace.content);
-        follower.ordered(self.epoch, &self.names());
+        let mut follower = Follower::new(self.pace.clock_tolerance, self.pace.lease, self.pace.max_content_bytes);
+        follower.apply_voter_set(self.epoch, &self.names());
         let mut node = Node::new(now, seed, me, self.pace);
         if place < self.voters {
-            node.ordered(now, self.epoch, &self.names());
+            node.apply_voter_set(now, self.epoch, &self.names());
         }
         let at = &mut self.places[place];
         (at.node, at.follower, at.stopped, at.acts_on) = (Some(node), follower, None, None);
@@ -138,9 +138,9 @@
         let (now, names) = (self.clock(place), self.names());
         let voter = place < self.voters;
         let at = &mut self.places[place];
-        at.follower.ordered(epoch, &names);
+        at.follower.apply_voter_set(epoch, &names);
         if let Some(node) = at.node.as_mut().filter(|_| voter) {
-            node.ordered(now, epoch, &names);
+            node.apply_voter_set(now, epoch, &names);
         }
     }
 
@@ -158,22 +158,22 @@
 
     fn pull(&mut self, place: usize) {
         let now = self.clock(place);
-        while let Some(to_do) = self.places[place].node.as_mut().and_then(|node| node.next(now)) {
-            let from = Name(place as u64);
+        while let Some(to_do) = self.places[place].node.as_mut().and_then(|node| node.next_action(now)) {
+            let from = NodeId(place as u64);
             match to_do {
-                Do::Send { to, bytes } => self.fly(place, to.0 as usize, Flight::Words { from, bytes }),
-                Do::Warrant(warrant, agreed) => {
+                Action::Send { to, bytes } => self.fly(place, to.0 as usize, Flight::Words { from, bytes }),
+                Action::Attest(warrant, agreed) => {
                     for to in 0..self.places.len() {
                         self.fly(place, to, Flight::Warrant { from, warrant, agreed: agreed.clone() });
                     }
                 }
-                Do::Decided(agreed) => {
+                Action::Decided(agreed) => {
                     let known = self.decided.entry(agreed.number).or_insert_with(|| agreed.clone());
                     if *known != agreed {
                         self.broken = Some(format!("two states of one number: {known:?} and {agreed:?}"));
                     }
                 }
-                Do::Event { what, .. } => self.told.push((place, what)),
+                Action::Event { kind, .. } => self.told.push((place, kind)),
             }
         }
     }
@@ -190,12 +190,12 @@
         match flight {
             Flight::Words { from, bytes } => {
                 if let Some(node) = &mut at.node {
-                    node.heard(now, from, &bytes);
+                    node.receive(now, from, &bytes);
                 }
             }
             Flight::Warrant { from, warrant, agreed } => {
-                at.follower.heard_warrant(now, from, warrant);
-                at.follower.heard_state(agreed);
+                at.follower.receive_attestation(now, from, warrant);
+                at.follower.receive_state(agreed);
             }
         }
         self.pull(to);
@@ -238,7 +238,7 @@
 
     /// Those that run and act do so on one state or two that are neighbours, whatever happened.
     fn check(&mut self) {
-        let acting: Vec<Number> = self
+        let acting: Vec<StateNumber> = self
             .places
             .iter()
             .filter(|place| place.stopped.is_none())
@@ -259,7 +259,7 @@
     }
 
     /// The latest decided.
-    pub fn latest(&self) -> Option<&Agreed> {
+    pub fn latest(&self) -> Option<&DecidedState> {
         self.decided.values().max_by_key(|agreed| (agreed.number.epoch, agreed.number.step))
     }
 
@@ -272,7 +272,7 @@
             }
             let Some(node) = &mut self.places[place].node else { continue };
             let Some(after) = node.latest().map(|agreed| agreed.number) else { continue };
-            if node.acts(now) && node.propose(now, after, content.to_vec()).is_ok() {
+            if node.is_designated_proposer(now) && node.propose(now, after, content.to_vec()).is_ok() {
                 self.pull(place);
                 return true;
             }
@@ -308,7 +308,7 @@
         self.all_follow()
     }
 
-    pub fn heard_of(&self, what: What) -> bool {
+    pub fn heard_of(&self, what: EventKind) -> bool {
         self.told.iter().any(|(_, told)| *told == what)
     }
 }
--- a/crates/accord/tests/leases.rs
+++ b/crates/accord/tests/leases.rs
@@ -5,9 +5,9 @@
 
 use stateright::{Checker, Model, Property};
 use woadhook::{Moment, Span};
-use woadhook_accord::propose::Proposer;
-use woadhook_accord::vote::Acceptor;
-use woadhook_accord::{Agreed, Ballot, Follower, Life, Name, Number, Proposal, Settled, Voter, Warrant};
+use woadhook_accord::proposer::Proposer;
+use woadhook_accord::acceptor::Acceptor;
+use woadhook_accord::{DecidedState, Ballot, Follower, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, Voter, Attestation};
 
 const VOTERS: usize = 3;
 /// One tick is the clocks' tolerance; the time is the ticks.
@@ -32,7 +32,7 @@
     ahead: Vec<u64>,
     acceptors: Vec<Acceptor>,
     follower: Follower,
-    decided: Vec<Settled>,
+    decided: Vec<DecisionRecord>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -53,12 +53,12 @@
 }
 
 fn voters() -> Vec<Voter> {
-    (0..VOTERS as u64).map(|name| Voter { name: Name(name), life: Life(0) }).collect()
+    (0..VOTERS as u64).map(|name| Voter { node: NodeId(name), incarnation: Incarnation(0) }).collect()
 }
 
-fn state(step: u64) -> Agreed {
-    Agreed {
-        number: Number { epoch: 1, step, founding: 1 },
+fn state(step: u64) -> DecidedState {
+    DecidedState {
+        number: StateNumber { epoch: 1, step, founding_id: 1 },
         proposal: Proposal { voters: voters(), content: vec![] },
     }
 }
@@ -78,7 +78,7 @@
     type Action = Happens;
 
     fn init_states(&self) -> Vec<State> {
-        let first = Settled { agreed: state(0), clear: 0 };
+        let first = DecisionRecord { state: state(0), previous_lease_end_us: 0 };
         let wait = if self.voters_wait { span(1) } else { Span::ZERO };
         let acceptors: Vec<Acceptor> = voters()
             .into_iter()
@@ -89,7 +89,7 @@
             })
             .collect();
         let mut follower = Follower::new(span(1), span(self.held), 8);
-        follower.ordered(1, &voters().iter().map(|voter| voter.name).collect::<Vec<_>>());
+        follower.apply_voter_set(1, &voters().iter().map(|voter| voter.node).collect::<Vec<_>>());
         // The voters' ahead of the follower's, the follower's ahead, two voters' ahead.
         [[1, 1, 1, 0], [0, 0, 0, 1], [1, 1, 0, 0]]
             .into_iter()
@@ -123,35 +123,35 @@
                 let number = next.acceptors[place].attest(now)?;
                 let agreed = state(number.step);
                 let said = (next.time + next.ahead[place]) * TICK;
-                let warrant = Warrant { life: Life(0), number, digest: agreed.digest(), said };
+                let warrant = Attestation { incarnation: Incarnation(0), number, digest: agreed.digest(), issued_at_us: said };
                 let heard = next.now(VOTERS);
-                next.follower.heard_warrant(heard, Name(place as u64), warrant);
-                next.follower.heard_state(agreed);
+                next.follower.receive_attestation(heard, NodeId(place as u64), warrant);
+                next.follower.receive_state(agreed);
             }
             Happens::Decide(one, other) => {
-                let after = next.acceptors[one].settled()?.agreed.clone();
+                let after = next.acceptors[one].latest()?.state.clone();
                 let number = after.number.next()?;
                 if number.step as usize != next.decided.len() {
                     return None;
                 }
                 let ballot = Ballot { round: 1, by: voters()[one] };
-                let mut bid = Proposer::bid(&after, ballot, state(number.step).proposal)?;
+                let mut bid = Proposer::start(&after, ballot, state(number.step).proposal)?;
                 for place in [one, other] {
                     let now = next.now(place);
                     let accepted = next.acceptors[place].prepare(now, number, ballot).ok()?;
-                    bid.promised(voters()[place], ballot, accepted);
+                    bid.receive_promise(voters()[place], ballot, accepted);
                 }
-                let proposal = bid.deciding()?.clone();
+                let proposal = bid.proposal_to_accept()?.clone();
                 let mut settled = None;
                 for place in [one, other] {
                     let now = next.now(place);
                     let until = next.acceptors[place].accept(now, number, ballot, proposal.clone()).ok()?;
-                    settled = settled.or(bid.accepted(voters()[place], ballot, until));
+                    settled = settled.or(bid.receive_accepted(voters()[place], ballot, until));
                 }
                 next.decided.push(settled?);
             }
             Happens::Learns(place) => {
-                let known = next.acceptors[place].settled()?.agreed.number.step as usize;
+                let known = next.acceptors[place].latest()?.state.number.step as usize;
                 let settled = next.decided.get(known + 1)?.clone();
                 next.acceptors[place].learn(settled);
             }
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -5,16 +5,16 @@
 
 use stateright::{Checker, Model, Property};
 use woadhook::{Moment, Span};
-use woadhook_accord::propose::Proposer;
-use woadhook_accord::vote::Acceptor;
-use woadhook_accord::{Agreed, Ballot, Life, Name, Number, Proposal, Settled, Voter};
+use woadhook_accord::proposer::Proposer;
+use woadhook_accord::acceptor::Acceptor;
+use woadhook_accord::{DecidedState, Ballot, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, Voter};
 
 const VOTERS: usize = 3;
 
 /// What may happen, and one defence that can be taken out.
 struct World {
     restarts: u8,
-    /// Whether a start from nothing is another life, as it has to be.
+    /// Whether a start from nothing is another incarnation, as it has to be.
     new_lives: bool,
     /// Whom each of the two proposers reaches at all.
     reach: [&'static [usize]; 2],
@@ -34,7 +34,7 @@
     proposers: Vec<Option<Proposer>>,
     /// Never taken out: a word may come again at any time, or not at all.
     words: BTreeSet<Word>,
-    decided: BTreeSet<Agreed>,
+    decided: BTreeSet<DecidedState>,
     restarts: u8,
 }
 
@@ -45,22 +45,22 @@
     Restart(usize),
 }
 
-fn voter(place: usize, life: u64) -> Voter {
-    Voter { name: Name(place as u64), life: Life(life) }
+fn voter(place: usize, incarnation: u64) -> Voter {
+    Voter { node: NodeId(place as u64), incarnation: Incarnation(incarnation) }
 }
 
-fn first() -> Settled {
-    let number = Number { epoch: 1, step: 0, founding: 9 };
+fn first() -> DecisionRecord {
+    let number = StateNumber { epoch: 1, step: 0, founding_id: 9 };
     let voters = (0..VOTERS).map(|place| voter(place, 0)).collect();
-    Settled { agreed: Agreed { number, proposal: Proposal { voters, content: vec![] } }, clear: 0 }
+    DecisionRecord { state: DecidedState { number, proposal: Proposal { voters, content: vec![] } }, previous_lease_end_us: 0 }
 }
 
 fn now() -> Moment {
     Moment::from_micros(1_000_000)
 }
 
-fn acceptor(place: usize, life: u64) -> Acceptor {
-    let mut acceptor = Acceptor::new(voter(place, life), Span::ZERO, Span::ZERO);
+fn acceptor(place: usize, incarnation: u64) -> Acceptor {
+    let mut acceptor = Acceptor::new(voter(place, incarnation), Span::ZERO, Span::ZERO);
     acceptor.learn(first());
     acceptor
 }
@@ -89,23 +89,23 @@
         match action {
             Happens::Bid(by) => {
                 let ballot = Ballot { round: by as u64 + 1, by: voter(10 + by, 0) };
-                let want = Proposal { voters: first().agreed.proposal.voters, content: vec![by as u8] };
-                state.proposers[by] = Proposer::bid(&first().agreed, ballot, want);
+                let want = Proposal { voters: first().state.proposal.voters, content: vec![by as u8] };
+                state.proposers[by] = Proposer::start(&first().state, ballot, want);
                 state.words.extend(self.reach[by].iter().map(|to| Word::Prepare { to: *to, by, ballot }));
             }
             Happens::Restart(place) => {
                 state.restarts += 1;
-                let life = if self.new_lives { u64::from(state.restarts) } else { 0 };
-                state.acceptors[place] = acceptor(place, life);
+                let incarnation = if self.new_lives { u64::from(state.restarts) } else { 0 };
+                state.acceptors[place] = acceptor(place, incarnation);
             }
             Happens::Comes(Word::Prepare { to, by, ballot }) => {
-                let number = first().agreed.number.next()?;
+                let number = first().state.number.next()?;
                 let accepted = state.acceptors[to].prepare(now(), number, ballot).ok()?;
                 let voter = state.acceptors[to].me();
                 state.words.insert(Word::Promise { to: by, voter, ballot, accepted });
             }
             Happens::Comes(Word::Promise { to, voter, ballot, accepted }) => {
-                let proposal = state.proposers[to].as_mut()?.promised(voter, ballot, accepted);
+                let proposal = state.proposers[to].as_mut()?.receive_promise(voter, ballot, accepted);
                 let accept =
                     |place| Word::Accept { to: place, by: to, ballot, proposal: proposal.clone().unwrap() };
                 if proposal.is_some() {
@@ -113,14 +113,14 @@
                 }
             }
             Happens::Comes(Word::Accept { to, by, ballot, proposal }) => {
-                let number = first().agreed.number.next()?;
+                let number = first().state.number.next()?;
                 state.acceptors[to].accept(now(), number, ballot, proposal).ok()?;
                 let voter = state.acceptors[to].me();
                 state.words.insert(Word::Accepted { to: by, voter, ballot });
             }
             Happens::Comes(Word::Accepted { to, voter, ballot }) => {
-                let settled = state.proposers[to].as_mut()?.accepted(voter, ballot, Moment::default());
-                state.decided.extend(settled.map(|settled| settled.agreed));
+                let settled = state.proposers[to].as_mut()?.receive_accepted(voter, ballot, Moment::default());
+                state.decided.extend(settled.map(|settled| settled.state));
             }
         }
         (state != *last).then_some(state)
--- a/crates/accord/tests/stories.rs
+++ b/crates/accord/tests/scenarios.rs
@@ -5,11 +5,11 @@
 use common::{World, millis, pace};
 use rand::RngExt;
 use woadhook::Moment;
-use woadhook_accord::node::NotProposed;
-use woadhook_accord::propose::Proposer;
-use woadhook_accord::vote::{Acceptor, Refusal};
+use woadhook_accord::node::ProposeError;
+use woadhook_accord::proposer::Proposer;
+use woadhook_accord::acceptor::{Acceptor, VoteRefusal};
 use woadhook_accord::{
-    Agreed, Ballot, Follower, Life, Name, Node, Number, Pace, Proposal, Settled, Voter, Warrant, What,
+    DecidedState, Ballot, Follower, Incarnation, NodeId, Node, StateNumber, AccordConfig, Proposal, DecisionRecord, Voter, Attestation, EventKind,
 };
 
 const LONG: u64 = 60_000;
@@ -47,7 +47,7 @@
     world.start(2);
     assert!(!world.places[2].node.as_ref().unwrap().is_voter());
     world.pass(millis(30_000));
-    assert!(world.heard_of(What::Forgotten), "it is said");
+    assert!(world.heard_of(EventKind::Forgotten), "it is said");
     assert!(world.places[2].node.as_ref().unwrap().is_voter(), "it votes again");
     // It counts: with another one gone it makes the majority.
     world.kill(0);
@@ -78,7 +78,7 @@
     world.pass(millis(500));
     [0, 1, 2].iter().for_each(|place| world.start(*place));
     assert!(!world.decides(b"no", millis(20_000)), "two of five lives decide nothing");
-    assert!(world.heard_of(What::MajorityLost));
+    assert!(world.heard_of(EventKind::MajorityLost));
     assert!(world.places.iter().all(|place| place.acts_on.is_none()), "all leases have run out");
     world.order();
     world.pass(millis(2_000));
@@ -161,17 +161,17 @@
 /// nobody votes on the second next before, with the clocks' tolerance.
 #[test]
 fn nobody_votes_on_the_second_next_while_a_warrant_for_a_state_counts() {
-    let (lease, tolerance) = (pace().lease, pace().tolerance);
-    let voter = |name| Voter { name: Name(name), life: Life(1) };
+    let (lease, tolerance) = (pace().lease, pace().clock_tolerance);
+    let voter = |name| Voter { node: NodeId(name), incarnation: Incarnation(1) };
     let voters: Vec<Voter> = (0..3).map(voter).collect();
     let mut acceptors: Vec<Acceptor> = voters.iter().map(|me| Acceptor::new(*me, tolerance, lease)).collect();
     let start = Moment::from_micros(common::START);
-    let number = Number { epoch: 1, step: 0, founding: 1 };
-    let state = |number, content: u8| Agreed {
+    let number = StateNumber { epoch: 1, step: 0, founding_id: 1 };
+    let state = |number, content: u8| DecidedState {
         number,
         proposal: Proposal { voters: voters.clone(), content: vec![content] },
     };
-    let first = Settled { agreed: state(number, 0), clear: 0 };
+    let first = DecisionRecord { state: state(number, 0), previous_lease_end_us: 0 };
     for acceptor in &mut acceptors {
         assert!(acceptor.learn(first.clone()));
         assert_eq!(acceptor.attest(start), Some(number));
@@ -180,16 +180,16 @@
     let (later, ballot) = (start + millis(1_000), Ballot { round: 1, by: voters[0] });
     assert_eq!(acceptors[1].attest(later), Some(number));
     let next = number.next().unwrap();
-    let mut bid = Proposer::bid(&first.agreed, ballot, state(next, 1).proposal).unwrap();
+    let mut bid = Proposer::start(&first.state, ballot, state(next, 1).proposal).unwrap();
     let mut settled = None;
     for place in 0..2 {
         let accepted = acceptors[place].prepare(later, next, ballot).unwrap();
-        bid.promised(voters[place], ballot, accepted);
+        bid.receive_promise(voters[place], ballot, accepted);
     }
-    let proposal = bid.deciding().unwrap().clone();
+    let proposal = bid.proposal_to_accept().unwrap().clone();
     for place in 0..2 {
         let until = acceptors[place].accept(later, next, ballot, proposal.clone()).unwrap();
-        settled = settled.or(bid.accepted(voters[place], ballot, until));
+        settled = settled.or(bid.receive_accepted(voters[place], ballot, until));
         assert_eq!(
             acceptors[place].attest(later + millis(1)),
             None,
@@ -197,14 +197,14 @@
         );
     }
     let settled = settled.unwrap();
-    assert_eq!(Moment::from_micros(settled.clear), later + lease, "the latest warrant counts");
+    assert_eq!(Moment::from_micros(settled.previous_lease_end_us), later + lease, "the latest warrant counts");
     acceptors.iter_mut().for_each(|acceptor| assert!(acceptor.learn(settled.clone())));
     let second = next.next().unwrap();
     let ballot = Ballot { round: 2, by: voters[1] };
     let open = later + lease + tolerance;
     let before = Moment::from_micros(open.since(Moment::from_micros(1)).micros());
-    assert_eq!(acceptors[0].prepare(before, second, ballot), Err(Refusal::NotYet));
-    assert_eq!(acceptors[0].accept(before, second, ballot, proposal), Err(Refusal::NotYet));
+    assert_eq!(acceptors[0].prepare(before, second, ballot), Err(VoteRefusal::PreviousLeaseActive));
+    assert_eq!(acceptors[0].accept(before, second, ballot, proposal), Err(VoteRefusal::PreviousLeaseActive));
     assert_eq!(acceptors[0].prepare(open, second, ballot), Ok(None));
 }
 
@@ -235,23 +235,23 @@
 #[test]
 fn a_flood_of_states_leaves_one_that_waits_for_its_majority() {
     let now = Moment::from_micros(common::START);
-    let names: Vec<Name> = (0..3).map(Name).collect();
-    let voters: Vec<Voter> = names.iter().map(|name| Voter { name: *name, life: Life(1) }).collect();
-    let state = |step: u64| Agreed {
-        number: Number { epoch: 1, step, founding: 1 },
+    let names: Vec<NodeId> = (0..3).map(NodeId).collect();
+    let voters: Vec<Voter> = names.iter().map(|name| Voter { node: *name, incarnation: Incarnation(1) }).collect();
+    let state = |step: u64| DecidedState {
+        number: StateNumber { epoch: 1, step, founding_id: 1 },
         proposal: Proposal { voters: voters.clone(), content: vec![] },
     };
-    let mut follower = Follower::new(pace().tolerance, pace().lease, 640);
-    follower.ordered(1, &names);
+    let mut follower = Follower::new(pace().clock_tolerance, pace().lease, 640);
+    follower.apply_voter_set(1, &names);
     let truth = state(5);
     let said = now.since(Moment::default()).micros();
-    let warrant = Warrant { life: Life(1), number: truth.number, digest: truth.digest(), said };
-    follower.heard_warrant(now, Name(0), warrant);
-    follower.heard_state(truth.clone());
-    (100..200).for_each(|step| _ = follower.heard_state(state(step)));
-    assert_eq!(follower.believed(), None);
-    follower.heard_warrant(now, Name(1), warrant);
-    assert_eq!(follower.believed(), Some(&truth));
+    let warrant = Attestation { incarnation: Incarnation(1), number: truth.number, digest: truth.digest(), issued_at_us: said };
+    follower.receive_attestation(now, NodeId(0), warrant);
+    follower.receive_state(truth.clone());
+    (100..200).for_each(|step| _ = follower.receive_state(state(step)));
+    assert_eq!(follower.confirmed(), None);
+    follower.receive_attestation(now, NodeId(1), warrant);
+    assert_eq!(follower.confirmed(), Some(&truth));
 }
 
 /// Words of other voters begin no epoch: the operator's order does.
@@ -262,7 +262,7 @@
     let node = world.places[0].node.as_mut().unwrap();
     let mut agreed = node.latest().unwrap().clone();
     agreed.number.epoch += 1;
-    node.learn(now, Settled { agreed, clear: 0 });
+    node.learn(now, DecisionRecord { state: agreed, previous_lease_end_us: 0 });
     assert_eq!(node.latest().unwrap().number.epoch, 1);
 }
 
@@ -275,7 +275,7 @@
     let mut agreed = node.latest().unwrap().clone();
     agreed.number.step += 1;
     let far = now.since(Moment::default()).micros() + 3_600_000_000;
-    node.learn(now, Settled { agreed: agreed.clone(), clear: far });
+    node.learn(now, DecisionRecord { state: agreed.clone(), previous_lease_end_us: far });
     assert!(agreed.number.is_later(node.latest().unwrap().number));
 }
 
@@ -285,7 +285,7 @@
     let (mut decided, mut refounded) = (0, 0);
     for seed in 0..SCHEDULES {
         let voters = [3, 5][seed as usize % 2];
-        let short = Pace { lease: millis(1_500), tolerance: millis(400), ..pace() };
+        let short = AccordConfig { lease: millis(1_500), clock_tolerance: millis(400), ..pace() };
         let mut world = World::with(short, seed, voters, voters + 2);
         (world.loss, world.twice, world.slowest) = (0.1, 0.1, 300);
         for round in 0..24_u8 {
@@ -314,7 +314,7 @@
                 3 | 4 => world.cut.clear(),
                 // The operator's way back, and at times an order that nothing called for.
                 5 if seed.is_multiple_of(10)
-                    || world.told.last().is_some_and(|(_, what)| *what == What::MajorityLost) =>
+                    || world.told.last().is_some_and(|(_, what)| *what == EventKind::MajorityLost) =>
                 {
                     world.order();
                     refounded += 1;
@@ -346,18 +346,18 @@
     forged.proposal.content = b"forged".to_vec();
     // One not named, and one named voter against the majority.
     let said = now.since(Moment::default()).micros();
-    let warrant = |life| Warrant { life, number: forged.number, digest: forged.digest(), said };
+    let warrant = |incarnation| Attestation { incarnation, number: forged.number, digest: forged.digest(), issued_at_us: said };
     for name in [4, 5, 6] {
-        follower.heard_warrant(now, Name(name), warrant(Life(1)));
+        follower.receive_attestation(now, NodeId(name), warrant(Incarnation(1)));
     }
-    follower.heard_warrant(now, Name(0), warrant(forged.proposal.voters[0].life));
-    follower.heard_state(forged.clone());
-    assert_eq!(follower.believed(), Some(&truth));
+    follower.receive_attestation(now, NodeId(0), warrant(forged.proposal.voters[0].incarnation));
+    follower.receive_state(forged.clone());
+    assert_eq!(follower.confirmed(), Some(&truth));
     // A flood of states for which nobody vouches, then the truth.
     for step in 0..100 {
         let mut other = forged.clone();
         other.number.step += step;
-        follower.heard_state(other);
+        follower.receive_state(other);
     }
     assert!(world.decides(b"next", millis(LONG)));
     assert!(world.follows_within(millis(LONG)));
@@ -373,8 +373,8 @@
     let node = world.places[0].node.as_mut().unwrap();
     for length in 0..400 {
         let bytes: Vec<u8> = (0..length).map(|at| if at == 0 { 1 } else { chance.random() }).collect();
-        node.heard(now, Name(1), &bytes);
-        while node.next(now).is_some() {}
+        node.receive(now, NodeId(1), &bytes);
+        while node.next_action(now).is_some() {}
     }
     assert_eq!(node.latest(), before.as_ref());
 }
@@ -386,10 +386,10 @@
     let now = world.clock(0);
     let node = world.places[0].node.as_mut().unwrap();
     let me = node.me();
-    let number = Number { step: u64::MAX, ..node.latest().unwrap().number };
+    let number = StateNumber { step: u64::MAX, ..node.latest().unwrap().number };
     let proposal = Proposal { voters: vec![me], content: vec![1] };
-    let agreed = Agreed { number, proposal };
-    node.learn(now, Settled { agreed, clear: 0 });
+    let agreed = DecidedState { number, proposal };
+    node.learn(now, DecisionRecord { state: agreed, previous_lease_end_us: 0 });
     assert_eq!(node.propose(now, number, vec![2]), Ok(()));
     world.pass(millis(20_000));
     assert_eq!(world.places[0].node.as_ref().unwrap().latest().unwrap().number.step, u64::MAX);
@@ -403,14 +403,14 @@
     let now = world.clock(0);
     let latest = world.latest().unwrap().number;
     let node = world.places[0].node.as_mut().unwrap();
-    assert_eq!(node.propose(now, latest, vec![0; 641]), Err(NotProposed::TooLong));
-    let earlier = Number { step: latest.step + 1, ..latest };
-    assert_eq!(node.propose(now, earlier, vec![0]), Err(NotProposed::Moved));
-    let me = Voter { name: Name(9), life: Life(9) };
+    assert_eq!(node.propose(now, latest, vec![0; 641]), Err(ProposeError::ContentTooLong));
+    let earlier = StateNumber { step: latest.step + 1, ..latest };
+    assert_eq!(node.propose(now, earlier, vec![0]), Err(ProposeError::StateChanged));
+    let me = Voter { node: NodeId(9), incarnation: Incarnation(9) };
     let mut stranger = Node::new(now, 1, me, pace());
-    assert_eq!(stranger.propose(now, latest, vec![0]), Err(NotProposed::NoVote));
-    let mut follower = Follower::new(pace().tolerance, pace().lease, 640);
-    assert!(follower.ordered(1, &[Name(1)]));
-    assert!(!follower.ordered(1, &[Name(2)]), "one order an epoch");
+    assert_eq!(stranger.propose(now, latest, vec![0]), Err(ProposeError::NotAVoter));
+    let mut follower = Follower::new(pace().clock_tolerance, pace().lease, 640);
+    assert!(follower.apply_voter_set(1, &[NodeId(1)]));
+    assert!(!follower.apply_voter_set(1, &[NodeId(2)]), "one order an epoch");
     assert!(follower.in_force(now).is_none());
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,14 +1,14 @@
 //! The operator file: what an installation sets beside the platform's configuration.
 //!
-//! It is a Jsonnet template. [`template`] evaluates it, [`bounds`] does so in a process of its own with limits on
-//! time and memory, [`table`] holds a line for each field that may stand there, and [`sheet`] checks what
+//! It is a Jsonnet template. [`template`] evaluates it, [`subprocess`] does so in a process of its own with limits on
+//! time and memory, [`table`] holds a line for each field that may stand there, and [`operator_file`] checks what
 //! came out against that table and hands it to the parts of the program, section by section.
 
-pub mod bounds;
+pub mod subprocess;
 pub mod page;
-pub mod sheet;
+pub mod operator_file;
 pub mod table;
 pub mod template;
 
-pub use sheet::{Section, Sheet};
-pub use table::{FIELDS, Field, Kind};
+pub use operator_file::{Section, OperatorFile};
+pub use table::{FIELDS, Field, FieldKind};
--- a/crates/operator/src/sheet.rs
+++ b/crates/operator/src/operator_file.rs
@@ -7,12 +7,12 @@
 
 use serde_json::{Map, Value};
 
-use crate::bounds;
-use crate::table::{FIELDS, Field, Kind, SECTIONS};
+use crate::subprocess;
+use crate::table::{FIELDS, Field, FieldKind, SECTIONS};
 
 /// A checked operator file.
 #[derive(Clone, Debug)]
-pub struct Sheet {
+pub struct OperatorFile {
     /// By path; holds each field of the sections that are given, defaults filled in.
     values: BTreeMap<&'static str, Value>,
     folder: PathBuf,
@@ -21,11 +21,11 @@
 /// The fields of one section. Getters give the type that the table states, or its zero where the field is not set.
 #[derive(Clone, Copy, Debug)]
 pub struct Section<'a> {
-    sheet: &'a Sheet,
+    sheet: &'a OperatorFile,
     name: &'a str,
 }
 
-impl Default for Sheet {
+impl Default for OperatorFile {
     /// As an empty file: sections whose fields all have defaults.
     fn default() -> Self {
         let mut sheet = Self { values: BTreeMap::new(), folder: PathBuf::from(".") };
@@ -34,17 +34,17 @@
     }
 }
 
-impl Sheet {
+impl OperatorFile {
     /// Evaluates a template in a process of its own, which `program` (woadhook itself) is started for, and
     /// checks the result.
-    pub fn read(program: &Path, path: &Path) -> Result<Self, String> {
-        let json = bounds::evaluate(program, path)?;
-        Self::check(&json, path)
+    pub fn load(program: &Path, path: &Path) -> Result<Self, String> {
+        let json = subprocess::evaluate(program, path)?;
+        Self::parse(&json, path)
     }
 
     /// Checks what a template stands for. All faults are told, a line each: file, path of the field, what is
     /// given, what is allowed.
-    pub fn check(json: &str, path: &Path) -> Result<Self, String> {
+    pub fn parse(json: &str, path: &Path) -> Result<Self, String> {
         let shown = path.display();
         let given: Value = serde_json::from_str(json).map_err(|error| format!("{shown}: {error}"))?;
         let mut sheet =
@@ -123,8 +123,8 @@
     }
 
     /// The files that the operator file names and that can't be read, a line each.
-    pub fn missing_files(&self) -> Vec<String> {
-        let files = FIELDS.iter().filter(|field| field.kind == Kind::File);
+    pub fn unreadable_files(&self) -> Vec<String> {
+        let files = FIELDS.iter().filter(|field| field.kind == FieldKind::File);
         let named = files.filter_map(|field| Some((field, self.values.get(field.path)?.as_str()?)));
         let fault = |(field, path): (&Field, &str)| {
             let error = fs::metadata(self.folder.join(path)).err()?;
@@ -143,7 +143,7 @@
         self.value(field).and_then(Value::as_str).unwrap_or_default()
     }
 
-    pub fn whole(&self, field: &str) -> u64 {
+    pub fn integer(&self, field: &str) -> u64 {
         self.value(field).and_then(Value::as_u64).unwrap_or_default()
     }
 
@@ -151,33 +151,33 @@
         self.value(field)?.as_str()?.parse().ok()
     }
 
-    pub fn addresses(&self, field: &str) -> Vec<SocketAddr> {
-        self.texts(field).iter().filter_map(|text| text.parse().ok()).collect()
+    pub fn address_list(&self, field: &str) -> Vec<SocketAddr> {
+        self.text_list(field).iter().filter_map(|text| text.parse().ok()).collect()
     }
 
-    pub fn texts(&self, field: &str) -> Vec<&'a str> {
+    pub fn text_list(&self, field: &str) -> Vec<&'a str> {
         let rows = self.value(field).and_then(Value::as_array);
         rows.into_iter().flatten().filter_map(Value::as_str).collect()
     }
 
     /// A path, from the operator file's folder.
-    pub fn file(&self, field: &str) -> Option<PathBuf> {
+    pub fn file_path(&self, field: &str) -> Option<PathBuf> {
         Some(self.sheet.folder.join(self.value(field)?.as_str()?))
     }
 }
 
 /// The value as the getters read it, if the kind allows it.
-fn normal(kind: Kind, value: &Value) -> Option<Value> {
+fn normal(kind: FieldKind, value: &Value) -> Option<Value> {
     match kind {
-        Kind::Choice(words) => words.contains(&value.as_str()?).then(|| value.clone()),
-        Kind::Text(most) => (1..=most).contains(&value.as_str()?.len()).then(|| value.clone()),
-        Kind::Whole(least, most) => {
+        FieldKind::Choice(words) => words.contains(&value.as_str()?).then(|| value.clone()),
+        FieldKind::Text(most) => (1..=most).contains(&value.as_str()?.len()).then(|| value.clone()),
+        FieldKind::Integer(least, most) => {
             let number = value.as_f64().filter(|number| number.fract() == 0.0 && *number >= 0.0)? as u64;
             (least..=most).contains(&number).then(|| number.into())
         }
-        Kind::Address => value.as_str()?.parse::<SocketAddr>().ok().map(|_| value.clone()),
-        Kind::File => (!value.as_str()?.is_empty()).then(|| value.clone()),
-        Kind::List(most, each) => {
+        FieldKind::Address => value.as_str()?.parse::<SocketAddr>().ok().map(|_| value.clone()),
+        FieldKind::File => (!value.as_str()?.is_empty()).then(|| value.clone()),
+        FieldKind::List(most, each) => {
             let rows = value.as_array().filter(|rows| rows.len() <= most)?;
             rows.iter().map(|row| normal(*each, row)).collect::<Option<Vec<_>>>().map(Value::Array)
         }
@@ -190,14 +190,14 @@
     if field.unit.is_empty() { words } else { format!("{words} ({})", field.unit) }
 }
 
-fn of_kind(kind: Kind) -> String {
+fn of_kind(kind: FieldKind) -> String {
     match kind {
-        Kind::Choice(words) => format!("one of {}", words.join(", ")),
-        Kind::Text(most) => format!("text of 1 to {most} bytes"),
-        Kind::Whole(least, most) => format!("a whole number from {least} to {most}"),
-        Kind::Address => "an IP address and port, as in 10.0.0.4:7946 or [::1]:7946".to_owned(),
-        Kind::File => "the path of a file".to_owned(),
-        Kind::List(most, each) => format!("a list of up to {most}, each {}", of_kind(*each)),
+        FieldKind::Choice(words) => format!("one of {}", words.join(", ")),
+        FieldKind::Text(most) => format!("text of 1 to {most} bytes"),
+        FieldKind::Integer(least, most) => format!("a whole number from {least} to {most}"),
+        FieldKind::Address => "an IP address and port, as in 10.0.0.4:7946 or [::1]:7946".to_owned(),
+        FieldKind::File => "the path of a file".to_owned(),
+        FieldKind::List(most, each) => format!("a list of up to {most}, each {}", of_kind(*each)),
     }
 }
 
--- a/crates/operator/src/page.rs
+++ b/crates/operator/src/page.rs
@@ -1,10 +1,10 @@
 //! The page of all fields, made from the table that checks them.
 
-use crate::sheet::allowed;
+use crate::operator_file::allowed;
 use crate::table::{FIELDS, SECTIONS};
 
 /// The page as Markdown.
-pub fn fields() -> String {
+pub fn fields_markdown() -> String {
     let mut page = String::from(
         "# Fields of the operator file\n\nMade by `woadhook fields` from the table that checks them. The file is \
          Jsonnet (JSON is valid Jsonnet); `woadhook check --operator FILE` checks it and says what is set.\n",
@@ -19,7 +19,7 @@
                 Some("null") => "none".to_owned(),
                 Some(value) => format!("`{value}`"),
             };
-            let line = format!("| `{}` | {} | {default} | {} |\n", field.name(), allowed(field), field.says);
+            let line = format!("| `{}` | {} | {default} | {} |\n", field.name(), allowed(field), field.description);
             page.push_str(&line);
         }
     }
--- a/crates/operator/src/table.rs
+++ b/crates/operator/src/table.rs
@@ -2,19 +2,19 @@
 
 /// What a field holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum FieldKind {
     /// One of these words.
     Choice(&'static [&'static str]),
     /// Text of so many bytes at most, and one at least.
     Text(usize),
     /// A whole number in this range, ends included.
-    Whole(u64, u64),
+    Integer(u64, u64),
     /// An IP address and port.
     Address,
     /// A path; one that is not absolute starts at the operator file's folder.
     File,
     /// Up to so many of these.
-    List(usize, &'static Kind),
+    List(usize, &'static FieldKind),
 }
 
 /// One field.
@@ -22,16 +22,16 @@
 pub struct Field {
     /// Section and name.
     pub path: &'static str,
-    pub kind: Kind,
+    pub kind: FieldKind,
     /// The unit of a number, or nothing.
     pub unit: &'static str,
     /// What stands in where nothing is given, as JSON; without one, the field is required where its section is given.
     pub default: Option<&'static str>,
-    pub says: &'static str,
+    pub description: &'static str,
 }
 
-const fn field(path: &'static str, kind: Kind, unit: &'static str, says: &'static str) -> Field {
-    Field { path, kind, unit, default: None, says }
+const fn field(path: &'static str, kind: FieldKind, unit: &'static str, description: &'static str) -> Field {
+    Field { path, kind, unit, default: None, description }
 }
 
 impl Field {
@@ -48,65 +48,65 @@
     }
 }
 
-const ADDRESS: Kind = Kind::Address;
-const KEY: Kind = Kind::Text(64);
+const ADDRESS: FieldKind = FieldKind::Address;
+const KEY: FieldKind = FieldKind::Text(64);
 
 /// Every field that an operator file may hold.
 pub const FIELDS: &[Field] = &[
-    field("log.format", Kind::Choice(&["text", "json"]), "", "Lines for people, or one JSON object a line.")
+    field("log.format", FieldKind::Choice(&["text", "json"]), "", "Lines for people, or one JSON object a line.")
         .or("\"text\""),
-    field("log.level", Kind::Choice(&["error", "warn", "info", "debug", "trace"]), "",
+    field("log.level", FieldKind::Choice(&["error", "warn", "info", "debug", "trace"]), "",
         "The least grave lines that are written; `RUST_LOG` goes before it.").or("\"info\""),
-    field("gossip.cluster", Kind::Text(64), "",
+    field("gossip.cluster", FieldKind::Text(64), "",
         "The name that all instances of one cluster share; messages of others are refused."),
     field("gossip.listen", ADDRESS, "", "Where this instance receives datagrams (UDP)."),
     field("gossip.advertise", ADDRESS, "",
         "Where others send to this instance, if that is not `listen`. Told to all members, signed.").or("null"),
-    field("gossip.seeds", Kind::List(32, &ADDRESS), "",
+    field("gossip.seeds", FieldKind::List(32, &ADDRESS), "",
         "Instances that are asked first, and again while few members are known. Own addresses may be among them.")
         .or("[]"),
-    field("gossip.key", Kind::File, "", "This instance's secret key, readable by its owner alone (mode 0600)."),
-    field("gossip.pass", Kind::File, "", "The operator's word that this key belongs to the cluster."),
-    field("gossip.operator_keys", Kind::List(4, &KEY), "",
+    field("gossip.key", FieldKind::File, "", "This instance's secret key, readable by its owner alone (mode 0600)."),
+    field("gossip.pass", FieldKind::File, "", "The operator's word that this key belongs to the cluster."),
+    field("gossip.operator_keys", FieldKind::List(4, &KEY), "",
         "Public keys whose passes are believed, 64 hex digits each; two while the operator's key is changed."),
-    field("gossip.revoked", Kind::File, "",
+    field("gossip.revoked", FieldKind::File, "",
         "Keys that no longer belong, as signed by the operator; members tell them on.").or("null"),
-    field("gossip.order", Kind::File, "",
+    field("gossip.order", FieldKind::File, "",
         "Who votes on what all routers follow, as signed by the operator (`woadhook key order`); members tell it on.")
         .or("null"),
-    field("gossip.period_ms", Kind::Whole(50, 10_000), "milliseconds",
+    field("gossip.period_ms", FieldKind::Integer(50, 10_000), "milliseconds",
         "Between two pings of members. Words reach all within a few periods.").or("200"),
-    field("gossip.sends_per_s", Kind::Whole(5, 1_000), "datagrams a second",
+    field("gossip.sends_per_s", FieldKind::Integer(5, 1_000), "datagrams a second",
         "The most that this instance sends, of 1,200 bytes at most each.").or("40"),
-    field("gossip.checks_per_s", Kind::Whole(20, 10_000), "signatures a second",
+    field("gossip.checks_per_s", FieldKind::Integer(20, 10_000), "signatures a second",
         "The most that this instance checks; what comes beyond is dropped unread.").or("400"),
-    field("gossip.members", Kind::Whole(2, 16_384), "members",
+    field("gossip.members", FieldKind::Integer(2, 16_384), "members",
         "The most that are remembered, at about half a KB each.").or("4096"),
-    field("gossip.clock_tolerance_ms", Kind::Whole(100, 60_000), "milliseconds",
+    field("gossip.clock_tolerance_ms", FieldKind::Integer(100, 60_000), "milliseconds",
         "By how much clocks of instances may differ.").or("5000"),
-    field("gossip.word_lifetime_ms", Kind::Whole(500, 60_000), "milliseconds",
+    field("gossip.word_lifetime_ms", FieldKind::Integer(500, 60_000), "milliseconds",
         "How long a word on an engine counts, fading all the while.").or("10000"),
-    field("gossip.forget_s", Kind::Whole(10, 86_400), "seconds",
+    field("gossip.forget_s", FieldKind::Integer(10, 86_400), "seconds",
         "How long a member that is gone or has left is remembered.").or("600"),
-    field("pace.client_sends_bytes_per_s", Kind::Whole(1, 1_000_000), "bytes a second",
+    field("pace.client_sends_bytes_per_s", FieldKind::Integer(1, 1_000_000), "bytes a second",
         "The slowest that a client may send a message that it has begun.").or("1000"),
-    field("pace.client_takes_bytes_per_s", Kind::Whole(1, 10_000_000), "bytes a second",
+    field("pace.client_takes_bytes_per_s", FieldKind::Integer(1, 10_000_000), "bytes a second",
         "The slowest that a client may take its answers.").or("16000"),
-    field("pace.client_grace_ms", Kind::Whole(100, 60_000), "milliseconds",
+    field("pace.client_grace_ms", FieldKind::Integer(100, 60_000), "milliseconds",
         "How long a client may pause, or be slower from the start.").or("2000"),
-    field("pace.engine_bytes_per_s", Kind::Whole(1, 10_000_000), "bytes a second",
+    field("pace.engine_bytes_per_s", FieldKind::Integer(1, 10_000_000), "bytes a second",
         "The slowest that an engine may send a page before it is asked for again on a new connection.").or("16000"),
-    field("pace.engine_rate_percent", Kind::Whole(1, 100), "percent",
+    field("pace.engine_rate_percent", FieldKind::Integer(1, 100), "percent",
         "The same, as a part of the rate of the engine in the middle; the lower of both counts.").or("10"),
-    field("pace.engine_grace_ms", Kind::Whole(50, 10_000), "milliseconds",
+    field("pace.engine_grace_ms", FieldKind::Integer(50, 10_000), "milliseconds",
         "How long an engine may pause within a page.").or("500"),
-    field("pace.turn_bytes", Kind::Whole(1_024, 1_048_576), "bytes",
+    field("pace.turn_bytes", FieldKind::Integer(1_024, 1_048_576), "bytes",
         "What one connection may read or write before the others have a turn.").or("16384"),
-    field("accord.period_ms", Kind::Whole(50, 10_000), "milliseconds",
+    field("accord.period_ms", FieldKind::Integer(50, 10_000), "milliseconds",
         "Between two words of a voter to the others. Four without one, and it counts as gone.").or("200"),
-    field("accord.lease_ms", Kind::Whole(1_000, 120_000), "milliseconds",
+    field("accord.lease_ms", FieldKind::Integer(1_000, 120_000), "milliseconds",
         "How long a voter's word that a state is the latest counts; more than twice the tolerance.").or("8000"),
-    field("accord.clock_tolerance_ms", Kind::Whole(10, 30_000), "milliseconds",
+    field("accord.clock_tolerance_ms", FieldKind::Integer(10, 30_000), "milliseconds",
         "By how much clocks of routers may differ. Decisions lie a lease and two of these apart.").or("2000"),
 ];
 
--- a/crates/operator/src/template.rs
+++ b/crates/operator/src/template.rs
@@ -15,9 +15,9 @@
 use rsjsonnet_lang::span::{SpanContextId, SpanId};
 
 /// The largest file that is read, in bytes.
-pub const FILE_BYTES: u64 = 256 * 1024;
+pub const MAX_FILE_BYTES: u64 = 256 * 1024;
 /// The most files of one evaluation, the template among them.
-pub const FILES: usize = 64;
+pub const MAX_FILES: usize = 64;
 /// How deep calls and fields may lie in one another.
 const STACK: usize = 200;
 
@@ -75,12 +75,12 @@
     }
 
     fn text(&self, path: &Path, shown: &str) -> Result<Vec<u8>, String> {
-        if self.read.len() >= FILES {
-            return Err(format!("{shown}: more than {FILES} files"));
+        if self.read.len() >= MAX_FILES {
+            return Err(format!("{shown}: more than {MAX_FILES} files"));
         }
         let length = fs::metadata(path).map_err(|error| format!("{shown}: {error}"))?.len();
-        if length > FILE_BYTES {
-            return Err(format!("{shown}: {length} bytes, allowed are {FILE_BYTES}"));
+        if length > MAX_FILE_BYTES {
+            return Err(format!("{shown}: {length} bytes, allowed are {MAX_FILE_BYTES}"));
         }
         fs::read(path).map_err(|error| format!("{shown}: {error}"))
     }
--- a/crates/operator/tests/operator.rs
+++ b/crates/operator/tests/operator.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use woadhook_operator::{FIELDS, Sheet, page, template};
+use woadhook_operator::{FIELDS, OperatorFile, page, template};
 
 /// A folder of its own for a story, with a file in it.
 fn folder(story: &str, files: &[(&str, &str)]) -> PathBuf {
@@ -38,14 +38,14 @@
         ],
     );
     let path = folder.join("main.jsonnet");
-    let sheet = Sheet::check(&template::evaluate(&path).unwrap(), &path).unwrap();
+    let sheet = OperatorFile::parse(&template::evaluate(&path).unwrap(), &path).unwrap();
     let gossip = sheet.section("gossip").unwrap();
-    assert_eq!((gossip.whole("period_ms"), gossip.whole("checks_per_s")), (100, 400));
-    assert_eq!(gossip.addresses("seeds").len(), 3);
-    assert_eq!(gossip.file("key"), Some(folder.join("k")));
+    assert_eq!((gossip.integer("period_ms"), gossip.integer("checks_per_s")), (100, 400));
+    assert_eq!(gossip.address_list("seeds").len(), 3);
+    assert_eq!(gossip.file_path("key"), Some(folder.join("k")));
     assert_eq!(gossip.address("advertise"), None);
     assert_eq!(sheet.section("log").unwrap().text("level"), "info", "what needs nothing is always there");
-    assert_eq!(sheet.missing_files().len(), 2);
+    assert_eq!(sheet.unreadable_files().len(), 2);
 }
 
 #[test]
@@ -85,7 +85,7 @@
 #[test]
 fn faults_of_fields_name_the_path_and_what_is_allowed_all_at_once() {
     let path = PathBuf::from("site.jsonnet");
-    let told = Sheet::check(
+    let told = OperatorFile::parse(
         r#"{"log": {"format": "xml", "colour": true},
             "gossip": {"cluster": "", "listen": "here", "key": "k", "operator_keys": "none", "period_ms": 20.5},
             "gosip": {}}"#,
@@ -106,24 +106,24 @@
     }
     assert_eq!(told.lines().count(), 8);
     assert!(
-        Sheet::check("[]", &path).unwrap_err().contains("a list given, allowed is an object of sections")
+        OperatorFile::parse("[]", &path).unwrap_err().contains("a list given, allowed is an object of sections")
     );
 }
 
 #[test]
 fn every_default_is_allowed_and_the_page_is_the_tables() {
     for field in FIELDS {
-        assert!(field.path.contains('.') && !field.says.is_empty(), "{}", field.path);
+        assert!(field.path.contains('.') && !field.description.is_empty(), "{}", field.path);
     }
     let sheet =
-        Sheet::check(&format!("{{\"log\": {{}}, \"gossip\": {}}}", json_of(GOSSIP)), &PathBuf::from("x"));
+        OperatorFile::parse(&format!("{{\"log\": {{}}, \"gossip\": {}}}", json_of(GOSSIP)), &PathBuf::from("x"));
     let sheet = sheet.unwrap();
     let unset = ["gossip.advertise", "gossip.revoked", "gossip.order"];
     assert_eq!(sheet.fields().count() + unset.len(), FIELDS.len());
     let page = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operating/fields.md"));
     assert_eq!(
         page.unwrap(),
-        page::fields(),
+        page::fields_markdown(),
         "write it anew with: woadhook fields > docs/operating/fields.md"
     );
 }
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -12,7 +12,7 @@
 use woadhook_gossip::keys::{
     ClusterId, MemberId, Pass, Revocation, SecretKey, VoterSet, public_key_from_text, public_key_to_text,
 };
-use woadhook_operator::{Sheet, bounds, page};
+use woadhook_operator::{OperatorFile, subprocess, page};
 use woadhook_router::clock::Clock;
 use woadhook_router::file_reads::FileReads;
 use woadhook_router::gossip::Talk;
@@ -56,7 +56,7 @@
     Key(Key),
     /// Prints the page of all fields of the operator file
     Fields,
-    #[command(name = bounds::COMMAND, hide = true)]
+    #[command(name = subprocess::EVALUATE_COMMAND, hide = true)]
     Evaluate { file: PathBuf },
 }
 
@@ -135,8 +135,8 @@
         Some(Command::Run(operator)) => run(operator, line.log_format),
         Some(Command::Check { operator, config }) => said(check(operator.file.as_deref(), config)),
         Some(Command::Key(key)) => said(on_key(key)),
-        Some(Command::Fields) => said(Ok(page::fields())),
-        Some(Command::Evaluate { file }) => said(bounds::serve(&file)),
+        Some(Command::Fields) => said(Ok(page::fields_markdown())),
+        Some(Command::Evaluate { file }) => said(subprocess::run_child(&file)),
     };
     if done { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
@@ -149,10 +149,10 @@
     outcome.is_ok()
 }
 
-fn read_operator(file: Option<&Path>) -> Result<Sheet, String> {
-    let Some(file) = file else { return Ok(Sheet::default()) };
+fn read_operator(file: Option<&Path>) -> Result<OperatorFile, String> {
+    let Some(file) = file else { return Ok(OperatorFile::default()) };
     let program = env::current_exe().map_err(|error| error.to_string())?;
-    Sheet::read(&program, file)
+    OperatorFile::load(&program, file)
 }
 
 /// Runs a router until it was told to end and has ended.
@@ -182,7 +182,7 @@
 }
 
 /// Starts the router from the files as they are read now. One that is told to end before that has nothing to end.
-fn route(sheet: Sheet, file: Option<PathBuf>, mut signals: Heeded) -> Result<(), String> {
+fn route(sheet: OperatorFile, file: Option<PathBuf>, mut signals: Heeded) -> Result<(), String> {
     let named = sheet.clone();
     let read = FileReads::new(move || Ok((config::read()?, read_keys(&named)?)));
     let Some((given, keys)) = async_io::block_on(signals.first(read))? else { return Ok(()) };
@@ -197,7 +197,7 @@
 }
 
 /// The keys that the operator file names, where it has this instance talk with others.
-fn read_keys(sheet: &Sheet) -> Result<Option<Keys>, String> {
+fn read_keys(sheet: &OperatorFile) -> Result<Option<Keys>, String> {
     sheet.section("gossip").map(|section| Keys::read(section, Clock::start().now())).transpose()
 }
 
@@ -214,7 +214,7 @@
         for (path, value) in sheet.fields() {
             words.push_str(&format!("{path} = {value}\n"));
         }
-        let missing = sheet.missing_files();
+        let missing = sheet.unreadable_files();
         if !missing.is_empty() {
             return Err(missing
                 .iter()
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -33,7 +33,7 @@
     pub seeds: Vec<SocketAddr>,
     pub pace: GossipConfig,
     /// Of what a few voters agree on, where the operator's order names any.
-    pub accord: woadhook_accord::Pace,
+    pub accord: woadhook_accord::AccordConfig,
 }
 
 impl Talk {
@@ -46,7 +46,7 @@
             socket,
             keys,
             address: section.address("advertise").unwrap_or(bound),
-            seeds: section.addresses("seeds"),
+            seeds: section.address_list("seeds"),
             pace: pace(section),
             accord: agreement(accord)?,
         })
@@ -55,20 +55,20 @@
 
 /// How much, how often and how long, as the section states it.
 pub fn pace(section: Section<'_>) -> GossipConfig {
-    let millis = |field| Span::from_micros(section.whole(field) * 1000);
+    let millis = |field| Span::from_micros(section.integer(field) * 1000);
     GossipConfig {
         period: millis("period_ms"),
-        max_sends_per_s: section.whole("sends_per_s") as f64,
-        max_checks_per_s: section.whole("checks_per_s") as f64,
-        max_members: section.whole("members") as usize,
+        max_sends_per_s: section.integer("sends_per_s") as f64,
+        max_checks_per_s: section.integer("checks_per_s") as f64,
+        max_members: section.integer("members") as usize,
         clock_tolerance: millis("clock_tolerance_ms"),
         observation_lifetime: millis("word_lifetime_ms"),
-        forget_after: Span::from_micros(section.whole("forget_s") * 1_000_000),
+        forget_after: Span::from_micros(section.integer("forget_s") * 1_000_000),
     }
 }
 
 /// How often and how long in the agreement of voters, or what is wrong with the section.
-pub fn agreement(section: Section<'_>) -> Result<woadhook_accord::Pace> {
+pub fn agreement(section: Section<'_>) -> Result<woadhook_accord::AccordConfig> {
     agreement::pace(section)
 }
 
--- a/crates/router/src/keyfiles.rs
+++ b/crates/router/src/keyfiles.rs
@@ -83,8 +83,8 @@
 impl Keys {
     /// Reads the files that the operator file's section names.
     pub fn read(section: Section<'_>, now: Moment) -> Result<Self, String> {
-        let named = |field: &str| section.file(field).ok_or_else(|| format!("gossip.{field}: names no file"));
-        let operators = section.texts("operator_keys").into_iter().map(public_key_from_text);
+        let named = |field: &str| section.file_path(field).ok_or_else(|| format!("gossip.{field}: names no file"));
+        let operators = section.text_list("operator_keys").into_iter().map(public_key_from_text);
         let operators: Vec<[u8; 32]> = operators
             .collect::<Result<_, String>>()
             .map_err(|fault| format!("gossip.operator_keys: {fault}"))?;
@@ -92,12 +92,12 @@
             return Err("gossip.operator_keys: empty, so no pass would be believed".to_owned());
         }
         let mut ring = TrustStore::new(ClusterId::from_name(section.text("cluster")), operators);
-        if let Some(path) = section.file("revoked") {
+        if let Some(path) = section.file_path("revoked") {
             for revocation in revocations(&path)? {
                 ring.revoke(&revocation, now);
             }
         }
-        let order = section.file("order").map(|path| (order(&path), path));
+        let order = section.file_path("order").map(|path| (order(&path), path));
         let order = order.map(|(order, path)| Ok::<_, String>((order?, path))).transpose()?;
         if let Some((order, path)) = &order
             && !ring.verifies_voter_set(order)
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -43,7 +43,7 @@
 use futures_lite::Stream;
 use woadhook::Span;
 use woadhook_door::fields::*;
-use woadhook_operator::Sheet;
+use woadhook_operator::OperatorFile;
 use woadhook_pace::rate::Least;
 
 pub use crate::frontends::rpc::codec;
@@ -69,7 +69,7 @@
 /// Serves until a planned stop is done, which `orders` hold some time. With `talk` it talks with other routers.
 pub async fn serve(
     tasks: Tasks, given: config::Given, listener: TcpListener, orders: impl Stream<Item = Order> + 'static,
-    talk: Option<Talk>, sheet: &Sheet,
+    talk: Option<Talk>, sheet: &OperatorFile,
 ) -> Result<()> {
     let clock = Clock::start();
     let settings = given.settings;
@@ -92,10 +92,10 @@
 
     let pace = sheet.section("pace").ok_or("no section pace")?;
     let least = |rate: &str, grace: &str| Least {
-        rate: pace.whole(rate) as f64,
-        grace: Span::from_micros(pace.whole(grace) * 1000),
+        rate: pace.integer(rate) as f64,
+        grace: Span::from_micros(pace.integer(grace) * 1000),
     };
-    let share = pace.whole("engine_rate_percent") as f64 / 100.0;
+    let share = pace.integer("engine_rate_percent") as f64 / 100.0;
     tasks.start(timers::drive());
     let descriptors = Descriptors::share(given.descriptors);
     // Half of the memory in all; the other half is for what each connection and the program itself take.
@@ -147,7 +147,7 @@
         owing: owing.clone(),
         sends: least("client_sends_bytes_per_s", "client_grace_ms"),
         takes: least("client_takes_bytes_per_s", "client_grace_ms"),
-        turn: pace.whole("turn_bytes") as usize,
+        turn: pace.integer("turn_bytes") as usize,
         rounds,
         guards: guards.clone(),
     };
--- a/crates/router/tests/slow.rs
+++ b/crates/router/tests/slow.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use woadhook_operator::Sheet;
+use woadhook_operator::OperatorFile;
 use woadhook_router::stop::Order;
 use woadhook_standins::*;
 
@@ -15,7 +15,7 @@
 fn strict(engines: &[std::net::SocketAddr]) -> Running {
     let told = told(engines, Events::default().serve().address, 1024);
     let sheet = r#"{"pace": {"client_sends_bytes_per_s": 60, "client_grace_ms": 300, "client_takes_bytes_per_s": 100000}}"#;
-    Running::set(&told, None, Sheet::check(sheet, Path::new("strict")).unwrap())
+    Running::set(&told, None, OperatorFile::parse(sheet, Path::new("strict")).unwrap())
 }
 
 /// Writes a message a byte at a time; how long it took until that was refused, or nothing if all was taken.
@@ -160,7 +160,7 @@
     for (grace, whole) in [(4_000, true), (500, false)] {
         let told = told(&[engine.address], Events::default().serve().address, 1024);
         let sheet = format!(r#"{{"pace": {{"client_grace_ms": {grace}}}}}"#);
-        let router = Running::set(&told, None, Sheet::check(&sheet, Path::new("patient")).unwrap());
+        let router = Running::set(&told, None, OperatorFile::parse(&sheet, Path::new("patient")).unwrap());
         let mut client = Client::narrow(&router);
         let most = 60;
         for number in 1..=most {
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -32,8 +32,8 @@
 }
 
 /// The same of what voters agree on.
-pub fn usual_accord() -> woadhook_accord::Pace {
-    woadhook_accord::Pace { period: secs(0.2), lease: secs(8.0), tolerance: secs(2.0), content: 400 }
+pub fn usual_accord() -> woadhook_accord::AccordConfig {
+    woadhook_accord::AccordConfig { heartbeat_period: secs(0.2), lease: secs(8.0), clock_tolerance: secs(2.0), max_content_bytes: 400 }
 }
 
 /// Keys from small numbers.
@@ -207,7 +207,7 @@
     }
 
     /// The operator orders that some vote, and tells one instance; all hold agreements from now on.
-    pub fn order(&mut self, epoch: u64, voters: &[usize], accord: woadhook_accord::Pace) {
+    pub fn order(&mut self, epoch: u64, voters: &[usize], accord: woadhook_accord::AccordConfig) {
         for node in 0..self.nodes.len() {
             let (now, own) = (self.nodes[node].now(self.now), self.core(node).id());
             let seed = self.seed ^ node as u64;
--- a/crates/standins/src/routers.rs
+++ b/crates/standins/src/routers.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use serde_json::json;
-use woadhook_operator::Sheet;
+use woadhook_operator::OperatorFile;
 use woadhook_router::gossip::Talk;
 use woadhook_router::stop::Order;
 use woadhook_router::tasks::Tasks;
@@ -62,11 +62,11 @@
 
     /// One that talks with other routers.
     pub fn talking(told: &str, talk: Option<Talk>) -> Self {
-        Self::set(told, talk, Sheet::default())
+        Self::set(told, talk, OperatorFile::default())
     }
 
     /// One with an operator file.
-    pub fn set(told: &str, talk: Option<Talk>, sheet: Sheet) -> Self {
+    pub fn set(told: &str, talk: Option<Talk>, sheet: OperatorFile) -> Self {
         let given = config::parse(told, None).unwrap();
         let listener = TcpListener::bind(given.listen).unwrap();
         let address = listener.local_addr().unwrap();
