--- a/crates/accord/src/follower.rs
+++ b/crates/accord/src/follower.rs
@@ -184,7 +184,7 @@
         said.sort_by(|a, b| b.cmp(a));
         // As long as the oldest of the freshest majority counts.
         let oldest = said.get(agreed.proposal.majority() - 1)?;
-        Some(*oldest + self.lease.less(self.tolerance))
+        Some(*oldest + self.lease.saturating_sub(self.tolerance))
     }
 
     /// The state that may be acted on now.
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -146,7 +146,7 @@
     /// `incarnation` is drawn by the host, anew at each start.
     pub fn new(now: Moment, seed: u64, me: Voter, pace: AccordConfig) -> Self {
         let mut chance = Pcg32::seed_from_u64(seed);
-        let first = now + pace.heartbeat_period.times(chance.random::<f64>());
+        let first = now + pace.heartbeat_period.mul_f64(chance.random::<f64>());
         Self {
             me,
             pace,
@@ -234,7 +234,7 @@
     }
 
     fn lives(&self, now: Moment, voter: Voter) -> bool {
-        let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.times(GONE_PERIODS);
+        let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
         voter == self.me
             || self.heard.get(&voter.node).filter(recent).is_some_and(|heard| heard.incarnation == voter.incarnation)
     }
@@ -300,7 +300,7 @@
     /// nothing while the later one lives; a clock that went back at a start is waited out.
     fn lives_on(&mut self, now: Moment, voter: Voter) -> bool {
         let old = self.heard.get(&voter.node);
-        let gone_after = self.pace.heartbeat_period.times(GONE_PERIODS);
+        let gone_after = self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
         if old.is_some_and(|old| old.incarnation > voter.incarnation && now.since(old.at) < gone_after) {
             return false;
         }
@@ -409,7 +409,7 @@
         let number = settled.state.number;
         let sound = settled.state.proposal.is_valid(self.pace.max_content_bytes);
         // Threat: a clock far ahead in a clear time would hold up all further votes.
-        let longest = micros(now + (self.pace.lease + self.pace.clock_tolerance).times(2.0));
+        let longest = micros(now + (self.pace.lease + self.pace.clock_tolerance).mul_f64(2.0));
         // Only the operator's order begins an epoch; a state of one that is not ordered here yet comes again.
         if number.epoch != self.epoch || !sound || settled.previous_lease_end_us > longest {
             return;
@@ -499,7 +499,7 @@
 
     /// How long answers to a bid may take: the way there and back is not known beforehand.
     fn patience(&self) -> Span {
-        self.pace.heartbeat_period.times(BID_PERIODS * f64::from(1 << self.failed))
+        self.pace.heartbeat_period.mul_f64(BID_PERIODS * f64::from(1 << self.failed))
     }
 
     /// Asks those again that did not answer, a few times.
@@ -524,7 +524,7 @@
     fn give_up_bid(&mut self, now: Moment) {
         if self.bid.take().is_some() {
             self.failed = (self.failed + 1).min(DOUBLINGS);
-            let pause = self.pace.heartbeat_period.times(f64::from(1 << self.failed) * self.chance.random::<f64>());
+            let pause = self.pace.heartbeat_period.mul_f64(f64::from(1 << self.failed) * self.chance.random::<f64>());
             self.bid_at = now + pause;
         }
     }
@@ -550,7 +550,7 @@
             if *name == self.me.node {
                 return Some(self.me);
             }
-            let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.times(GONE_PERIODS);
+            let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
             let heard = self.heard.get(name).filter(recent);
             heard.map(|heard| Voter { node: *name, incarnation: heard.incarnation }).or_else(|| of_latest(name))
         });
@@ -580,7 +580,7 @@
             self.beat(now);
         }
         if self.is_voter() && now >= self.warrant_at {
-            self.warrant_at = now + self.pace.lease.times(1.0 / WARRANTS_A_LEASE);
+            self.warrant_at = now + self.pace.lease.mul_f64(1.0 / WARRANTS_A_LEASE);
             self.warrant(now);
         }
         if self.bid.as_ref().is_some_and(|bid| now >= bid.due) {
@@ -614,7 +614,7 @@
             Said::Enlist { epoch: self.epoch, knows }
         } else {
             let recent =
-                |(_, heard): &(&NodeId, &Heard)| now.since(heard.at) < self.pace.heartbeat_period.times(GONE_PERIODS);
+                |(_, heard): &(&NodeId, &Heard)| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
             let hears =
                 self.heard.iter().filter(recent).map(|(name, heard)| Voter { node: *name, incarnation: heard.incarnation });
             Said::Beat { knows: number, hears: hears.collect(), fit: self.fit(now) }
@@ -624,7 +624,7 @@
                 self.send(name, &said);
             }
         }
-        let gone_after = self.pace.heartbeat_period.times(GONE_PERIODS);
+        let gone_after = self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
         let gone: Vec<NodeId> = self
             .heard
             .iter_mut()
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -69,7 +69,7 @@
         let all = (0..places).map(|_| Place {
             node: None,
             follower: Follower::new(pace.clock_tolerance, pace.lease, pace.max_content_bytes),
-            ahead: pace.clock_tolerance.times(chance.random::<f64>()),
+            ahead: pace.clock_tolerance.mul_f64(chance.random::<f64>()),
             stopped: None,
             waiting: Vec::new(),
             acts_on: None,
--- a/crates/adapter/src/flint.rs
+++ b/crates/adapter/src/flint.rs
@@ -6,8 +6,8 @@
 
 use serde_json::{Value, json};
 use woadhook::*;
-use woadhook_door::Instance;
-use woadhook_door::fields::*;
+use woadhook_host::Instance;
+use woadhook_host::fields::*;
 
 /// All instances of this process. They share the numbered pages of the engine list, and nothing else.
 #[derive(Default)]
@@ -20,10 +20,10 @@
     /// Takes in one batch and returns the reply to it.
     pub fn answer(&mut self, line: &str) -> Result<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|error| format!("not a batch: {error}"))?;
-        let now = Moment::from_micros(whole(&batch, "atTimeUs")?);
+        let now = Moment::from_micros(integer(&batch, "atTimeUs")?);
         let mut replies = Vec::new();
-        for part in rows(&batch, "parts")? {
-            let events = rows(part, "happened")?;
+        for part in array(&batch, "parts")? {
+            let events = array(part, "happened")?;
             let who = text(part, "who").ok();
             for event in events {
                 self.take_in(now, who, event)?;
@@ -48,8 +48,8 @@
         let named = |fault: String| format!("{kind}: {fault}");
         match kind {
             "SNAPSHOT_ROWS" => {
-                let page = whole(event, "page").map_err(named)?;
-                self.pages.insert(page, rows(event, "items").map_err(named)?.to_vec());
+                let page = integer(event, "page").map_err(named)?;
+                self.pages.insert(page, array(event, "items").map_err(named)?.to_vec());
             }
             "SPAWN" => {
                 let instance = start(now, event).map_err(named)?;
@@ -68,7 +68,7 @@
 }
 
 fn start(now: Moment, event: &Value) -> Result<Instance> {
-    Instance::start(now, whole(event, "initSeed")?, present(event, "bootInfo")?)
+    Instance::start(now, integer(event, "initSeed")?, required(event, "bootInfo")?)
 }
 
 fn take_in(
@@ -77,17 +77,17 @@
     match kind {
         "REGISTRY" => follow_list(instance, now, event, pages)?,
         "REQUEST" => {
-            let job = JobId(instance.jobs.admit(text(event, "txn")?));
-            let bits = whole(event, "bitmap").unwrap_or(0);
+            let job = JobId(instance.jobs.intern(text(event, "txn")?));
+            let bits = integer(event, "bitmap").unwrap_or(0);
             let told = if bits & 1 == 1 { Some(span(event, "costUs")?) } else { None };
-            let kind = TypeId(place(&instance.types, text(event, "class")?, "class")?);
-            let key = text(event, "target").ok().and_then(|key| instance.key(kind, key));
+            let kind = TypeId(index_of(&instance.types, text(event, "class")?, "class")?);
+            let key = text(event, "target").ok().and_then(|key| instance.intern_key(kind, key));
             instance.router.job_arrived(
                 now,
                 job,
                 kind,
                 text(event, "account").ok().and_then(|name| position(&instance.tenants, name)).map(TenantId),
-                GroupId(whole(event, "schemaNo").unwrap_or(0) as usize),
+                GroupId(integer(event, "schemaNo").unwrap_or(0) as usize),
                 key,
                 told,
                 number(event, "estMemoryMb").unwrap_or(0.0),
@@ -96,42 +96,42 @@
         }
         "REPORT_BACK" => {
             take_report(instance, now, event)?;
-            let job = instance.jobs.find(text(event, "txn")?);
-            let (number, took) = (whole(event, "sendNo")? as usize, span(event, "lagUs")?);
+            let job = instance.jobs.get(text(event, "txn")?);
+            let (number, took) = (integer(event, "sendNo")? as usize, span(event, "lagUs")?);
             let outcome = outcome(event)?;
-            let over = mark(event, "noMore");
-            let told = whole(event, "usedUp")
+            let over = flag(event, "noMore");
+            let told = integer(event, "usedUp")
                 .ok()
-                .filter(|_| instance.costs_told)
+                .filter(|_| instance.costs_in_answers)
                 .map(|note| (Span::from_micros(note / 4096 * 1000), (note % 4096) as f64 * 4.0));
             if let Some(job) = job {
                 instance.router.dispatch_ended(now, JobId(job), number, outcome, took, told, over);
             }
         }
         "INTERIM" => {
-            let job = instance.jobs.find(text(event, "txn")?);
-            let (sent, level) = (whole(event, "sendNo")? as usize, number(event, "level").unwrap_or(0.0));
-            let progress = match (whole(event, "what")?, level) {
-                (1, share) => Progress::Share(share),
+            let job = instance.jobs.get(text(event, "txn")?);
+            let (sent, level) = (integer(event, "sendNo")? as usize, number(event, "level").unwrap_or(0.0));
+            let progress = match (integer(event, "what")?, level) {
+                (1, share) => Progress::Fraction(share),
                 (2, missing) => Progress::Spills(missing),
                 (3, 1.0) => Progress::WaitsForMemory,
                 (3, _) => Progress::WaitsForLoad,
                 _ => return Ok(()),
             };
             if let Some(job) = job {
-                instance.router.progressed(now, JobId(job), sent, progress);
+                instance.router.progress_reported(now, JobId(job), sent, progress);
             }
         }
         "SAMPLED" => {
             take_report(instance, now, event)?;
             let outcome = outcome(event)?;
-            if let Some(engine) = instance.engines.find(text(event, "engine")?) {
+            if let Some(engine) = instance.engines.get(text(event, "engine")?) {
                 instance.router.probe_ended(now, EngineId(engine), outcome);
             }
         }
         "WITHDRAWN" => {
-            if let Some(job) = instance.jobs.find(text(event, "txn")?) {
-                instance.router.job_over(JobId(job));
+            if let Some(job) = instance.jobs.get(text(event, "txn")?) {
+                instance.router.job_closed(JobId(job));
             }
         }
         // Timers only wake the module; messages of neighbours, streams and what is unknown have no use.
@@ -148,26 +148,26 @@
         instance.router.list_unavailable();
         return Ok(());
     }
-    let page = whole(event, "page")?;
+    let page = integer(event, "page")?;
     let items = pages.get(&page).ok_or_else(|| format!("page: no list {page}"))?;
     let mut named = Vec::with_capacity(items.len());
     for item in items {
-        let engine = EngineId(instance.engines.admit(text(item, "engine")?));
+        let engine = EngineId(instance.engines.intern(text(item, "engine")?));
         let listed = match text(item, "phase")? {
-            "live" => Listed::Live,
-            "quiescing" => Listed::Draining,
-            "dead" => Listed::Gone,
+            "live" => EngineStatus::Live,
+            "quiescing" => EngineStatus::Draining,
+            "dead" => EngineStatus::Gone,
             other => return Err(format!("phase: unknown {other}")),
         };
-        let came_up = whole(item, "cameUpUs").ok().filter(|&at| at > 0);
+        let came_up = integer(item, "cameUpUs").ok().filter(|&at| at > 0);
         // The bench's clock is the engines' own, so this age is the true one.
         let age = |at| now.since(Moment::from_micros(at));
         let start = came_up.map(|stamp| EngineStart { stamp, age: age(stamp) });
-        let zone = ZoneId(place(&instance.zones, text(item, "area")?, "area")?);
-        let kind = KindId(place(&instance.kinds, text(item, "familyType")?, "familyType")?);
-        let cell = CellId(whole(item, "stripe").unwrap_or(0) as usize);
-        let mark = instance.engines.mark(engine.0);
-        instance.router.engine_listed(now, engine, zone, kind, cell, listed, start, mark);
+        let zone = ZoneId(index_of(&instance.zones, text(item, "area")?, "area")?);
+        let kind = KindId(index_of(&instance.kinds, text(item, "familyType")?, "familyType")?);
+        let cell = CellId(integer(item, "stripe").unwrap_or(0) as usize);
+        let stable_hash = instance.engines.stable_hash(engine.0);
+        instance.router.engine_listed(now, engine, zone, kind, cell, listed, start, stable_hash);
         named.push(engine);
     }
     match mode {
@@ -180,8 +180,8 @@
 
 fn take_report(instance: &mut Instance, now: Moment, event: &Value) -> Result<()> {
     let Ok(values) = numbers(event, "pressure") else { return Ok(()) };
-    if let Some(engine) = instance.engines.find(text(event, "engine")?) {
-        instance.reported(now, EngineId(engine), |place, _| values.get(place).copied());
+    if let Some(engine) = instance.engines.get(text(event, "engine")?) {
+        instance.load_reported(now, EngineId(engine), |place, _| values.get(place).copied());
     }
     Ok(())
 }
@@ -218,15 +218,15 @@
                 steps.push(json!({"kind": "AFTER", "spanUs": after.micros(), "tag": "wake"}));
             }
             Decision::SetAside { engine, why } => {
-                let words = format!("engine {} set aside: {}", engine.0, why.words());
+                let words = format!("engine {} set aside: {}", engine.0, why.description());
                 steps.push(json!({"kind": "RECORD", "msg": words}));
             }
             Decision::Back { engine } => {
                 steps.push(json!({"kind": "RECORD", "msg": format!("engine {} is back", engine.0)}));
             }
-            Decision::Forget(Forgotten::Job(job)) => instance.jobs.forget(job.0),
-            Decision::Forget(Forgotten::Key(key)) => instance.keys.forget(key.0),
-            Decision::Forget(Forgotten::Engine(engine)) => instance.engines.forget(engine.0),
+            Decision::Forget(Forgotten::Job(job)) => instance.jobs.release(job.0),
+            Decision::Forget(Forgotten::Key(key)) => instance.keys.release(key.0),
+            Decision::Forget(Forgotten::Engine(engine)) => instance.engines.release(engine.0),
         }
     }
 }
@@ -239,7 +239,7 @@
 }
 
 fn outcome(event: &Value) -> Result<Outcome> {
-    Ok(match whole(event, "reason")? {
+    Ok(match integer(event, "reason")? {
         200 => Outcome::Done,
         500 => Outcome::Error,
         503 => Outcome::TurnedAway,
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -229,7 +229,7 @@
     ) -> Self {
         let mut chance = Pcg32::seed_from_u64(seed);
         let card = Rc::new(MemberRecord::issue(&own, address, micros(now) / 1000, false));
-        let first = pace.period.times(chance.random::<f64>());
+        let first = pace.period.mul_f64(chance.random::<f64>());
         let bucket = |per_s| Bucket::new(now, per_s, BURST);
         let mut new = Self {
             members: Members::new(own.id(), pace.max_members),
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -369,7 +369,7 @@
                 if for_long > suspicion && (*own || by.len() >= WITNESSES) {
                     Some(Lapse::Gone)
                 } else {
-                    (for_long > suspicion.times(2.0)).then_some(Lapse::Cleared)
+                    (for_long > suspicion.mul_f64(2.0)).then_some(Lapse::Cleared)
                 }
             }
             State::Gone { since } | State::Left { since } => {
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -36,7 +36,7 @@
             return None;
         }
         let half =
-            self.probes.iter().filter(|probe| !probe.asked).map(|p| p.sent + self.pace.period.times(0.5));
+            self.probes.iter().filter(|probe| !probe.asked).map(|p| p.sent + self.pace.period.mul_f64(0.5));
         let pull = (self.behind == Behind::Much).then_some(self.next_pull);
         half.chain(pull).chain([self.next_period]).min()
     }
@@ -49,7 +49,7 @@
     }
 
     pub(crate) fn pass_time(&mut self, now: Moment) {
-        let half = self.pace.period.times(0.5);
+        let half = self.pace.period.mul_f64(0.5);
         let unheard = |probe: &&mut Probe| !probe.asked && now.since(probe.sent) >= half;
         let late: Vec<(MemberId, u64)> = self
             .probes
@@ -64,7 +64,7 @@
             self.ask_helpers(now, about, mark);
         }
         if self.behind == Behind::Much && now >= self.next_pull {
-            self.next_pull = now + self.pace.period.times(1.0 / f64::from(BUSY_PULLS));
+            self.next_pull = now + self.pace.period.mul_f64(1.0 / f64::from(BUSY_PULLS));
             self.pull(now);
         }
         if now >= self.next_period {
@@ -81,9 +81,9 @@
         for probe in done {
             self.accuse(now, probe.to);
         }
-        let old = self.pace.period.times(2.0);
+        let old = self.pace.period.mul_f64(2.0);
         self.errands.retain(|errand| now.since(errand.sent) < old);
-        if self.members.any_suspect() || now.since(self.swept) >= self.pace.period.times(SWEEP_PERIODS) {
+        if self.members.any_suspect() || now.since(self.swept) >= self.pace.period.mul_f64(SWEEP_PERIODS) {
             self.sweep(now);
         }
         if let Some(id) = self.next_in_round() {
@@ -100,14 +100,14 @@
         if self.behind == Behind::Little && self.periods.is_multiple_of(CALM_PULLS) {
             self.pull(now);
         }
-        for say in self.observer.repeat(now, self.pace.observation_lifetime.times(0.5)) {
+        for say in self.observer.repeat(now, self.pace.observation_lifetime.mul_f64(0.5)) {
             self.say(now, say);
         }
     }
 
     pub(crate) fn sweep(&mut self, now: Moment) {
         let suspicion =
-            self.pace.period.times(SUSPICION_PERIODS + (self.members.count() as f64 + 1.0).log2());
+            self.pace.period.mul_f64(SUSPICION_PERIODS + (self.members.count() as f64 + 1.0).log2());
         let part = now.since(self.swept).secs() / self.pace.observation_lifetime.secs().max(1e-3);
         self.members.regain_all(REGAIN * part);
         self.swept = now;
--- a/crates/gossip/src/words.rs
+++ b/crates/gossip/src/words.rs
@@ -102,7 +102,7 @@
         if before.is_some_and(|kept| (kept.incarnation, kept.number) >= (word.incarnation, word.number)) {
             return Err(Refused::Told);
         }
-        let fresh = |kept: &&Kept| now.since(kept.said) <= self.lifetime.times(0.5);
+        let fresh = |kept: &&Kept| now.since(kept.said) <= self.lifetime.mul_f64(0.5);
         if before.is_none() && kept.into_iter().flatten().filter(fresh).count() >= WITNESSES_KEPT {
             return Err(Refused::Enough);
         }
@@ -138,7 +138,7 @@
     /// How many others say the same of an engine, in words that are still fresh.
     pub fn agreeing(&self, now: Moment, engine: &str, of: Option<&str>, seen: EngineCondition, own: MemberId) -> usize {
         let kept = self.engines.get(engine).and_then(|heard| heard.words.get(&of.map(str::to_owned)));
-        let same = |kept: &&Kept| kept.seen == seen && now.since(kept.said) <= self.lifetime.times(0.5);
+        let same = |kept: &&Kept| kept.seen == seen && now.since(kept.said) <= self.lifetime.mul_f64(0.5);
         kept.into_iter().flatten().filter(same).filter(|kept| kept.witness != own).count()
     }
 
--- a/crates/gossip/tests/decisions.rs
+++ b/crates/gossip/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! Stories of routers that gossip, with the real decision module behind each: what hearsay does to jobs and engines.
 
 use proptest::prelude::*;
-use woadhook::{Listed, Span};
+use woadhook::{EngineStatus, Span};
 use woadhook_gossip::EngineCondition;
 use woadhook_standins::cluster::secs;
 use woadhook_standins::world::{Fate, World};
@@ -35,7 +35,7 @@
         world.pass(secs(5.0));
         let from = world.now();
         for router in 0..4 {
-            world.lists(secs(8.0), router, 5, Listed::Draining);
+            world.lists(secs(8.0), router, 5, EngineStatus::Draining);
         }
         for turn in 0..30 {
             for engine in 0..6 {
@@ -96,7 +96,7 @@
         // One side is told of a drain at once, the other when the partition heals; an engine crashes meanwhile.
         for router in 0..40 {
             let late = if router >= 40 - small { 8.0 } else { 1.0 };
-            world.lists(secs(late), router, 7, Listed::Draining);
+            world.lists(secs(late), router, 7, EngineStatus::Draining);
         }
         world.turns(secs(2.0), 6, Fate::Dead);
         world.pass(secs(8.0));
@@ -139,7 +139,7 @@
         let mut world = World::new(seed, 4, &[15.0, 15.0, 3.0], false);
         world.turns(secs(1.0), dead, Fate::Silent);
         world.turns(secs(3.0), dead, Fate::Well);
-        (0..3).for_each(|router| world.lists(secs(1.5), router, drained, Listed::Draining));
+        (0..3).for_each(|router| world.lists(secs(1.5), router, drained, EngineStatus::Draining));
         for (router, engine, of, doubt) in whispers {
             world.whisper(router, engine, of, doubt);
             world.pass(secs(0.05));
@@ -157,6 +157,6 @@
 impl Back for woadhook::Moment {
     fn back(self, by: f64) -> Self {
         let since = self.since(woadhook::Moment::default());
-        woadhook::Moment::from_micros(since.less(secs(by)).micros())
+        woadhook::Moment::from_micros(since.saturating_sub(secs(by)).micros())
     }
 }
--- a/crates/gossip/tests/scenarios.rs
+++ b/crates/gossip/tests/scenarios.rs
@@ -175,7 +175,7 @@
     let mut cluster = settled(8, 3);
     let (to, now) = (cluster.core(0).id(), cluster.now);
     let honest = identity(1, "n1", now);
-    let yesterday = Moment::from_micros(now.since(Moment::default()).less(secs(86_400.0)).micros());
+    let yesterday = Moment::from_micros(now.since(Moment::default()).saturating_sub(secs(86_400.0)).micros());
     let old = datagram(&honest, to, yesterday, 1, &[dead(&honest, yesterday, 1, "e-1")]);
     let fresh = datagram(&honest, to, now, 5, &[dead(&honest, now, 5, "e-2")]);
     let before = cluster.core(0).counters();
--- a/crates/door/src/fields.rs
+++ b/crates/host/src/fields.rs
@@ -5,19 +5,19 @@
 
 pub type Result<T> = std::result::Result<T, String>;
 
-pub fn present<'a>(value: &'a Value, field: &str) -> Result<&'a Value> {
+pub fn required<'a>(value: &'a Value, field: &str) -> Result<&'a Value> {
     value.get(field).filter(|found| !found.is_null()).ok_or_else(|| format!("lacks {field}"))
 }
 
 fn typed<'a, T>(value: &'a Value, field: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
-    read(present(value, field)?).ok_or_else(|| format!("{field} is malformed"))
+    read(required(value, field)?).ok_or_else(|| format!("{field} is malformed"))
 }
 
 pub fn text<'a>(value: &'a Value, field: &str) -> Result<&'a str> {
     typed(value, field, Value::as_str)
 }
 
-pub fn whole(value: &Value, field: &str) -> Result<u64> {
+pub fn integer(value: &Value, field: &str) -> Result<u64> {
     typed(value, field, |found| found.as_u64().or_else(|| found.as_f64().map(|f| f.max(0.0) as u64)))
 }
 
@@ -26,30 +26,30 @@
 }
 
 pub fn span(value: &Value, field: &str) -> Result<Span> {
-    whole(value, field).map(Span::from_micros)
+    integer(value, field).map(Span::from_micros)
 }
 
-pub fn rows<'a>(value: &'a Value, field: &str) -> Result<&'a [Value]> {
+pub fn array<'a>(value: &'a Value, field: &str) -> Result<&'a [Value]> {
     typed(value, field, |found| found.as_array().map(Vec::as_slice))
 }
 
 pub fn numbers(value: &Value, field: &str) -> Result<Vec<f64>> {
-    rows(value, field)?
+    array(value, field)?
         .iter()
         .map(|found| found.as_f64().ok_or_else(|| format!("{field} is malformed")))
         .collect()
 }
 
-pub fn names(value: &Value, field: &str) -> Result<Vec<String>> {
+pub fn strings(value: &Value, field: &str) -> Result<Vec<String>> {
     let name = |found: &Value| found.as_str().map(str::to_owned);
-    rows(value, field)?.iter().map(|v| name(v).ok_or_else(|| format!("{field} is malformed"))).collect()
+    array(value, field)?.iter().map(|v| name(v).ok_or_else(|| format!("{field} is malformed"))).collect()
 }
 
-pub fn mark(value: &Value, field: &str) -> bool {
+pub fn flag(value: &Value, field: &str) -> bool {
     value.get(field).and_then(Value::as_bool).unwrap_or(false)
 }
 
-pub fn mark_at(value: &Value, field: &str, place: usize) -> bool {
+pub fn flag_at(value: &Value, field: &str, place: usize) -> bool {
     value.get(field).and_then(|marks| marks.get(place)).and_then(Value::as_bool).unwrap_or(false)
 }
 
@@ -57,12 +57,12 @@
     names.iter().position(|known| known == name)
 }
 
-pub fn place(names: &[String], name: &str, field: &str) -> Result<usize> {
+pub fn index_of(names: &[String], name: &str, field: &str) -> Result<usize> {
     position(names, name).ok_or_else(|| format!("{field}: unknown {name}"))
 }
 
 /// The places among `names` that an optional field lists; those not among them are nowhere to be met.
-pub fn places(value: &Value, field: &str, names: &[String]) -> Option<Vec<usize>> {
-    let listed = rows(value, field).ok()?;
+pub fn indices_of(value: &Value, field: &str, names: &[String]) -> Option<Vec<usize>> {
+    let listed = array(value, field).ok()?;
     Some(listed.iter().filter_map(Value::as_str).filter_map(|name| position(names, name)).collect())
 }
--- a/crates/door/src/names.rs
+++ b/crates/host/src/interner.rs
@@ -7,15 +7,15 @@
 
 /// Names and their indices. A forgotten index is given out again, so that it stays as small as what is held.
 #[derive(Default)]
-pub struct Door {
+pub struct Interner {
     indices: HashMap<String, usize>,
     names: Vec<String>,
     free: Vec<usize>,
 }
 
-impl Door {
+impl Interner {
     /// The index of a name, a new one if it has none yet.
-    pub fn admit(&mut self, name: &str) -> usize {
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&index) = self.indices.get(name) {
             return index;
         }
@@ -28,12 +28,12 @@
         index
     }
 
-    pub fn find(&self, name: &str) -> Option<usize> {
+    pub fn get(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
     /// A number from the name, the same at every router and spread over all its bits.
-    pub fn mark(&self, index: usize) -> u64 {
+    pub fn stable_hash(&self, index: usize) -> u64 {
         let mut hash = FnvHasher::default();
         hash.write(self.names[index].as_bytes());
         hash.finish()
@@ -43,7 +43,7 @@
         &self.names[index]
     }
 
-    pub fn forget(&mut self, index: usize) {
+    pub fn release(&mut self, index: usize) {
         if self.indices.remove(&self.names[index]).is_some() {
             self.free.push(index);
         }
--- a/crates/door/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod fields;
 mod instance;
-mod names;
+mod interner;
 
-pub use instance::{Instance, come_back};
-pub use names::Door;
+pub use instance::{Instance, max_retry_after};
+pub use interner::Interner;
--- a/crates/pace/src/rate.rs
+++ b/crates/pace/src/rate.rs
@@ -31,7 +31,7 @@
     pub fn moved(&mut self, now: Moment, bytes: usize) {
         self.bytes += bytes as u64;
         let earned = Span::from_secs(bytes as f64 / self.least.rate.max(1e-9));
-        self.due = (self.due + earned).min(now + self.least.grace.times(2.0));
+        self.due = (self.due + earned).min(now + self.least.grace.mul_f64(2.0));
     }
 
     /// When it has been too slow, if nothing moves until then.
--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -3,7 +3,7 @@
 
 use woadhook::{Moment, Span};
 use woadhook_accord::{DecidedState, Action, Follower, Incarnation, NodeId, Node, StateNumber, AccordConfig, Voter, Attestation};
-use woadhook_door::fields::Result;
+use woadhook_host::fields::Result;
 use woadhook_gossip::Gossip;
 use woadhook_gossip::keys::MemberId;
 use woadhook_operator::Section;
@@ -20,7 +20,7 @@
 pub fn pace(section: Section<'_>) -> Result<AccordConfig> {
     let millis = |field| Span::from_micros(section.integer(field) * 1000);
     let (lease, tolerance) = (millis("lease_ms"), millis("clock_tolerance_ms"));
-    if lease <= tolerance.times(2.0) {
+    if lease <= tolerance.mul_f64(2.0) {
         let (lease, tolerance) = (section.integer("lease_ms"), section.integer("clock_tolerance_ms"));
         return Err(format!(
             "accord.lease_ms: {lease} given, allowed is more than twice accord.clock_tolerance_ms, which is {tolerance}"
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -243,7 +243,7 @@
                 Err(CallFault::NoDescriptor) => return Err(Outcome::NotIssued),
                 Err(CallFault::Local(_) | CallFault::Unreachable(_) | CallFault::Broken(_)) if in_time => {
                     pass(pause).await;
-                    pause = pause.times(2.0).min(MOST_PAUSE);
+                    pause = pause.mul_f64(2.0).min(MOST_PAUSE);
                     continue;
                 }
                 // It says nothing of the engine, which is not set aside for it.
@@ -275,7 +275,7 @@
                 Ok(answer) => return Ok((answer, lease)),
                 Err(CallFault::Local(_)) if !self.began.get() && in_time => {
                     pass(pause).await;
-                    pause = pause.times(2.0).min(MOST_PAUSE);
+                    pause = pause.mul_f64(2.0).min(MOST_PAUSE);
                     continue;
                 }
                 Err(CallFault::Local(_)) if !self.began.get() => return Err(Outcome::NotIssued),
@@ -465,7 +465,7 @@
 
     async fn pass_on(&self, note: &str, value: f64) {
         let progress = match (note, value) {
-            ("pct", share) => Progress::Share(share.min(1.0)),
+            ("pct", share) => Progress::Fraction(share.min(1.0)),
             ("overflow", missing) => Progress::Spills(missing),
             ("queued", 1.0) => Progress::WaitsForMemory,
             ("queued", _) => Progress::WaitsForLoad,
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use woadhook::Span;
-use woadhook_door::Instance;
+use woadhook_host::Instance;
 use woadhook_gossip::keys::{
     ClusterId, MemberId, Pass, Revocation, SecretKey, VoterSet, public_key_from_text, public_key_to_text,
 };
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use serde_json::Value;
-use woadhook_door::fields::*;
+use woadhook_host::fields::*;
 
 use crate::files;
 
@@ -39,13 +39,13 @@
 
 pub fn parse(words: &str, listen: Option<String>) -> Result<Given> {
     let mut given: Value = serde_json::from_str(words).map_err(|error| error.to_string())?;
-    let limits = present(&given, "limits")?;
+    let limits = required(&given, "limits")?;
     let listen = listen.map_or_else(|| text(&given, "listen").map(str::to_owned), Ok)?;
     Ok(Given {
         listen: address(&listen)?,
         seed: u64::from_str_radix(text(&given, "seed")?, 16).map_err(|error| format!("seed: {error}"))?,
         memory_mb: number(limits, "memory_mb")?,
-        descriptors: whole(limits, "sockets")? as usize,
+        descriptors: integer(limits, "sockets")? as usize,
         bulletin: address(text(&given, "bulletin")?)?,
         known: given["known"].take(),
         settings: given["settings"].take(),
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -11,8 +11,8 @@
 use futures_lite::{FutureExt, future};
 use serde_json::Value;
 use woadhook::*;
-use woadhook_door::Instance;
-use woadhook_door::fields::*;
+use woadhook_host::Instance;
+use woadhook_host::fields::*;
 use woadhook_gossip::EngineCondition;
 use woadhook_pace::crawl::Standing;
 use woadhook_pace::rate::Least;
@@ -58,7 +58,7 @@
     zone: ZoneId,
     kind: KindId,
     cell: CellId,
-    listed: Listed,
+    listed: EngineStatus,
     start: Option<Stamp>,
 }
 
@@ -74,8 +74,8 @@
     fn list(&mut self, line: Line, started: Option<Moment>) {
         self.line = line;
         self.started = started;
-        self.handle.engine.gone.set(line.listed == Listed::Gone);
-        self.handle.engine.open.set(line.listed == Listed::Live);
+        self.handle.engine.gone.set(line.listed == EngineStatus::Gone);
+        self.handle.engine.open.set(line.listed == EngineStatus::Live);
     }
 }
 
@@ -236,14 +236,14 @@
                     self.doubt(key);
                 }
                 let over = self.jobs[&job].reply.is_none();
-                let told = told.filter(|_| self.instance.costs_told);
+                let told = told.filter(|_| self.instance.costs_in_answers);
                 self.instance.router.dispatch_ended(now, job, number, outcome, took, told, over);
                 if over {
                     self.call_off(job);
                 }
             }
             Event::Progressed { job, number, progress } => {
-                self.instance.router.progressed(now, job, number, progress);
+                self.instance.router.progress_reported(now, job, number, progress);
             }
             Event::Reported { engine, stats } => self.report(now, engine, &stats),
             Event::ProbeEnded { engine, outcome } => {
@@ -260,7 +260,7 @@
             }
             Event::Stopping { by } => {
                 self.last_answer = Some(by);
-                self.instance.router.stopping(by);
+                self.instance.router.stop_by(by);
             }
         }
     }
@@ -282,7 +282,7 @@
         let rate = self.standing.least(self.share, self.most_least.rate);
         self.least.set(Least { rate, ..self.most_least });
         let longer = self.standing.longer(engine.0);
-        self.instance.router.sends_slowly(engine, longer);
+        self.instance.router.transfer_delay_measured(engine, longer);
     }
 
     /// Tells the actor that talks with other routers of an engine, if there is one.
@@ -295,7 +295,7 @@
     /// The engines of the list that are not gone: words on others are of no use.
     fn tell_list(&self) {
         if let Some(notes) = &self.notes {
-            let there = self.engines.iter().filter(|(_, known)| known.line.listed != Listed::Gone);
+            let there = self.engines.iter().filter(|(_, known)| known.line.listed != EngineStatus::Gone);
             let name = |engine: &EngineId| self.instance.engines.name(engine.0).to_owned();
             let came_up = |line: &Line| line.start.map(Stamp::moment).unwrap_or_default();
             let lines = there.map(|(engine, known)| (name(engine), came_up(&known.line)));
@@ -304,11 +304,11 @@
     }
 
     fn hearsay(&mut self, now: Moment, engine: &str, of: Option<&str>, doubt: f64) {
-        let Some(engine) = self.instance.engines.find(engine) else { return };
+        let Some(engine) = self.instance.engines.get(engine) else { return };
         let kind = of.map(|of| position(&self.instance.types, of));
         if kind != Some(None) {
             let kind = kind.flatten().map(TypeId);
-            self.instance.router.hearsay(now, EngineId(engine), kind, doubt);
+            self.instance.router.peer_reported(now, EngineId(engine), kind, doubt);
         }
     }
 
@@ -318,13 +318,13 @@
         reply: Reply,
     ) {
         let asked = (client, reply.number());
-        if self.instance.jobs.find(&statement.id).is_some() || self.asked.contains_key(&asked) {
+        if self.instance.jobs.get(&statement.id).is_some() || self.asked.contains_key(&asked) {
             return reply.send(Answer::Failed(MALFORMED));
         }
         let deadline = self.last_answer.map_or(deadline, |last| deadline.min(last));
-        let job = JobId(self.instance.jobs.admit(&statement.id));
+        let job = JobId(self.instance.jobs.intern(&statement.id));
         let tenant = tenant.and_then(|name| position(&self.instance.tenants, &name)).map(TenantId);
-        let key = key.and_then(|key| self.instance.key(kind, &key));
+        let key = key.and_then(|key| self.instance.intern_key(kind, &key));
         self.asked.insert(asked, job);
         let reply = Some(reply);
         let (dispatches, may_have_run, out) = (0, false, HashMap::new());
@@ -346,7 +346,7 @@
     /// The client waits no longer.
     fn withdraw(&mut self, job: JobId) {
         if self.reply_to(job).is_some() {
-            self.instance.router.job_over(job);
+            self.instance.router.job_closed(job);
             self.call_off(job);
         }
     }
@@ -367,7 +367,7 @@
 
     fn report(&mut self, now: Moment, engine: EngineId, stats: &str) {
         let fields = || stats.split(';').filter_map(|field| field.split_once(':'));
-        self.instance.reported(now, engine, |_, wanted| {
+        self.instance.load_reported(now, engine, |_, wanted| {
             let (_, value) = fields().find(|(name, _)| name.trim() == wanted)?;
             measure(value)
         });
@@ -375,22 +375,22 @@
 
     /// Takes in all lines or, where one can't be read, none; `in_part`, those that can.
     fn follow_list(&mut self, now: Moment, roster: &Value, happened: Happened, in_part: bool) -> Result<()> {
-        let lines = rows(roster, "members")?.iter().map(|member| self.read_line(member));
+        let lines = array(roster, "members")?.iter().map(|member| self.read_line(member));
         let passed_over = |fault: &String| log::warn!("a line of the list is passed over: {fault}");
         let usable =
             |line: &Result<_>| !in_part || line.as_ref().inspect_err(|fault| passed_over(fault)).is_ok();
         let lines = lines.filter(usable).collect::<Result<Vec<_>>>()?;
         let mut named = Vec::with_capacity(lines.len());
         for (name, line) in lines {
-            let engine = EngineId(self.instance.engines.admit(&name));
+            let engine = EngineId(self.instance.engines.intern(&name));
             self.list(now, engine, line, happened);
             named.push(engine);
         }
-        if mark(roster, "complete") {
+        if flag(roster, "complete") {
             self.listed = true;
             self.instance.router.list_complete(&named);
             for (_, known) in self.engines.iter_mut().filter(|(engine, _)| !named.contains(engine)) {
-                known.list(Line { listed: Listed::Gone, ..known.line }, known.started);
+                known.list(Line { listed: EngineStatus::Gone, ..known.line }, known.started);
             }
         } else {
             self.instance.router.list_changed();
@@ -400,16 +400,16 @@
 
     fn read_line(&self, member: &Value) -> Result<(String, Line)> {
         let listed = match text(member, "phase")? {
-            "SERVING" => Listed::Live,
-            "DRAINING" => Listed::Draining,
-            "DELETED" => Listed::Gone,
+            "SERVING" => EngineStatus::Live,
+            "DRAINING" => EngineStatus::Draining,
+            "DELETED" => EngineStatus::Gone,
             other => return Err(format!("phase: unknown {other}")),
         };
         let line = Line {
             at: address(text(member, "host_port")?)?,
-            zone: ZoneId(place(&self.instance.zones, text(member, "locality")?, "locality")?),
-            kind: KindId(place(&self.instance.kinds, text(member, "flavor")?, "flavor")?),
-            cell: CellId(whole(member, "cell").unwrap_or(0) as usize),
+            zone: ZoneId(index_of(&self.instance.zones, text(member, "locality")?, "locality")?),
+            kind: KindId(index_of(&self.instance.kinds, text(member, "flavor")?, "flavor")?),
+            cell: CellId(integer(member, "cell").unwrap_or(0) as usize),
             listed,
             start: Stamp::of(member),
         };
@@ -418,7 +418,7 @@
 
     fn list(&mut self, now: Moment, engine: EngineId, line: Line, happened: Happened) {
         let known = self.engines.get(&engine).filter(|known| known.line.start == line.start);
-        let heard = || line.start.map(|start| now.before(happened.least_age(start, now)));
+        let heard = || line.start.map(|start| now.saturating_sub(happened.least_age(start, now)));
         let started = known.map_or_else(heard, |known| known.started);
         self.tell(now, engine, line, started);
         if let Some(known) = self.engines.get_mut(&engine).filter(|known| known.line.at == line.at) {
@@ -437,7 +437,7 @@
     /// Tells the module of a line.
     fn tell(&mut self, now: Moment, engine: EngineId, line: Line, started: Option<Moment>) {
         let Line { zone, kind, cell, listed, start, .. } = line;
-        let mark = self.instance.engines.mark(engine.0);
+        let mark = self.instance.engines.stable_hash(engine.0);
         let age = started.map_or(Span::ZERO, |started| now.since(started));
         let start = start.map(|Stamp(stamp)| EngineStart { stamp, age });
         self.instance.router.engine_listed(now, engine, zone, kind, cell, listed, start, mark);
@@ -483,8 +483,8 @@
             }
             Decision::SetAside { engine, why } => {
                 let name = self.instance.engines.name(engine.0);
-                log::info!(event = "engine_set_aside", engine = name, why = why.words(); "engine {name} set aside: {}", why.words());
-                let seen = if why == Aside::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
+                log::info!(event = "engine_set_aside", engine = name, why = why.description(); "engine {name} set aside: {}", why.description());
+                let seen = if why == SetAsideReason::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
                 self.note(engine, |engine| Note::Judged { engine, seen });
             }
             Decision::Back { engine } => {
@@ -494,13 +494,13 @@
             }
             Decision::Forget(Forgotten::Job(job)) => {
                 self.jobs.remove(&job);
-                self.instance.jobs.forget(job.0);
+                self.instance.jobs.release(job.0);
             }
-            Decision::Forget(Forgotten::Key(key)) => self.instance.keys.forget(key.0),
+            Decision::Forget(Forgotten::Key(key)) => self.instance.keys.release(key.0),
             Decision::Forget(Forgotten::Engine(engine)) => {
                 self.engines.remove(&engine);
                 self.standing.forget(engine.0);
-                self.instance.engines.forget(engine.0);
+                self.instance.engines.release(engine.0);
             }
         }
     }
@@ -537,7 +537,7 @@
         Earlier {
             run_once: self.instance.is_run_once(open.kind),
             may_have_run: open.may_have_run,
-            one_out: !self.instance.copies && !open.out.is_empty(),
+            one_out: !self.instance.concurrent_dispatches && !open.out.is_empty(),
             key_out: open.key.and_then(|key| self.keys_out.get(&key)).is_some_and(|other| *other != job),
         }
     }
@@ -580,7 +580,7 @@
             self.settle(now, key);
         }
         if end.is_last {
-            self.instance.jobs.forget(job.0);
+            self.instance.jobs.release(job.0);
         }
     }
 
@@ -614,7 +614,7 @@
             self.unsettled.leave_over(job, *number, open.key);
         }
         if open.out.is_empty() {
-            self.instance.jobs.forget(job.0);
+            self.instance.jobs.release(job.0);
         }
     }
 }
--- a/crates/router/src/discovery/calls.rs
+++ b/crates/router/src/discovery/calls.rs
@@ -57,7 +57,7 @@
     pub fn due(&self, span: Span, at_pace: usize) -> Option<Moment> {
         let asked = self.out.iter().filter(|out| out.asked.get()).count();
         let spans = f64::from(1 << asked.saturating_sub(at_pace));
-        self.out.last().map(|youngest| youngest.began + span.times(spans))
+        self.out.last().map(|youngest| youngest.began + span.mul_f64(spans))
     }
 
     /// Sends out one more. Where too many are out, one goes whose neighbours are nearest to it in age: what is left is spread
@@ -136,15 +136,15 @@
 
     /// Notes how long an answered call took; what earlier ones took fades.
     pub fn answered_after(&mut self, took: Span) {
-        self.took = took.max(self.took.times(FADES));
+        self.took = took.max(self.took.mul_f64(FADES));
     }
 
     /// How far apart calls go out. Threat: a discovery whose answers are late and tell what was known as the call came: a change is heard
     /// with the answer to the next call only, that span and an answer's time later. It may hurt where discovery is late because it
     /// is crowded: up to so many calls as may be out at once. Where even these could not keep the time, the pace is the usual one.
     pub fn span(&self) -> Span {
-        let in_time = self.heard_within.less(self.took);
-        let least = self.took.times(1.0 / (MOST_CALLS - 1) as f64);
+        let in_time = self.heard_within.saturating_sub(self.took);
+        let least = self.took.mul_f64(1.0 / (MOST_CALLS - 1) as f64);
         if in_time < least { self.usual } else { in_time.min(self.usual) }
     }
 
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -9,7 +9,7 @@
 use futures_lite::{FutureExt, future};
 use serde_json::Value;
 use woadhook::{Moment, Span};
-use woadhook_door::fields::*;
+use woadhook_host::fields::*;
 
 use crate::clock::Clock;
 use crate::discovery::calls::{Asked, Calls, Ended, MOST_CALLS, MOST_FORMER, Pace};
@@ -61,7 +61,7 @@
     clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<Move>, module: Sender<Event>,
     freshness: Freshness,
 ) {
-    let patience = grace.times(PATIENCE_PART).min(LONGEST);
+    let patience = grace.mul_f64(PATIENCE_PART).min(LONGEST);
     let follower = Follower {
         clock,
         address,
@@ -71,7 +71,7 @@
         freshness,
         descriptors: Arc::new(Semaphore::new(MOST_CALLS + MOST_FORMER + 1)),
         calls: Calls::new(),
-        pace: Pace::new(grace.times(HEARD_PART), patience.times(OVERDUE), CALLS_AT_PACE),
+        pace: Pace::new(grace.mul_f64(HEARD_PART), patience.mul_f64(OVERDUE), CALLS_AT_PACE),
         kept: None,
         retry: None,
         fault: String::new(),
@@ -208,7 +208,7 @@
 
     /// Asks again on a new connection soon.
     fn failed(&mut self, fault: String) {
-        self.retry = Some(self.clock.now() + self.patience.times(PAUSE_PART));
+        self.retry = Some(self.clock.now() + self.patience.mul_f64(PAUSE_PART));
         if fault != self.fault {
             log::warn!(event = "discovery_failed"; "discovery: {fault}");
         }
@@ -273,7 +273,7 @@
 
 /// Passes on the first events that this router hears of, which may have happened at any time before.
 async fn pass_on_first(told: &Value, last: &mut u64, in_part: bool, module: &Sender<Event>) -> Result<()> {
-    let happened = Happened::before(rows(told, "items")?);
+    let happened = Happened::before(array(told, "items")?);
     pass_on(told, happened, last, in_part, module).await
 }
 
@@ -281,13 +281,13 @@
 async fn pass_on(
     told: &Value, happened: Happened, last: &mut u64, in_part: bool, module: &Sender<Event>,
 ) -> Result<()> {
-    for item in rows(told, "items")? {
-        let number = whole(item, "no")?;
+    for item in array(told, "items")? {
+        let number = integer(item, "no")?;
         if number <= *last {
             continue;
         }
         if let Some(roster) = item.get("roster") {
-            if number != *last + 1 && !mark(roster, "complete") {
+            if number != *last + 1 && !flag(roster, "complete") {
                 return Err(format!("event {} is missing", *last + 1));
             }
             let (read, answer) = async_channel::bounded(1);
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use serde_json::Value;
 use woadhook::*;
-use woadhook_door::fields::Result;
+use woadhook_host::fields::Result;
 use woadhook_gossip::EngineCondition;
 
 use crate::keyfiles::Keys;
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -32,7 +32,7 @@
 
 impl Freshness {
     pub fn new(clock: Clock, rounds: Rounds, grace: Span) -> Self {
-        let (stood_for, awaited_for) = (grace.times(STOOD_PART), grace.times(AWAITED_PART));
+        let (stood_for, awaited_for) = (grace.mul_f64(STOOD_PART), grace.mul_f64(AWAITED_PART));
         let (woke, became_fresh) = (Cell::new(None), Event::new());
         Self(Rc::new(Inner { clock, rounds, stood_for, awaited_for, woke, became_fresh }))
     }
--- a/crates/router/src/frontends/rpc/connections.rs
+++ b/crates/router/src/frontends/rpc/connections.rs
@@ -72,7 +72,7 @@
         loop {
             let changed = self.peer.leave.listen();
             let ending = self.peer.ending.get();
-            let left = GREETING.less(clock.now().since(self.peer.came));
+            let left = GREETING.saturating_sub(clock.now().since(self.peer.came));
             let to_go = self.peer.told_to_leave.get() || (ending && left == Span::ZERO);
             if to_go && self.peer.may_go(clock.now()) {
                 return;
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -366,7 +366,7 @@
         let earned = now.since(since).secs() / PACE.secs();
         let left = (left + earned).min(BURST) - turned_away as f64;
         self.credit.set((left, now));
-        let until = now + PACE.times(-left);
+        let until = now + PACE.mul_f64(-left);
         while turned_away > 0 && self.context.clock.now() < until {
             pass(until.since(self.context.clock.now()).min(GLANCE)).await;
             if link.is_left() {
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use futures_lite::{FutureExt, future};
 use woadhook::{Moment, Span};
-use woadhook_door::fields::Result;
+use woadhook_host::fields::Result;
 use woadhook_gossip::wire::MAX_DATAGRAM_BYTES;
 use woadhook_gossip::{Action, EngineCondition, Gossip, GossipConfig};
 use woadhook_operator::Section;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -42,7 +42,7 @@
 
 use futures_lite::Stream;
 use woadhook::Span;
-use woadhook_door::fields::*;
+use woadhook_host::fields::*;
 use woadhook_operator::OperatorFile;
 use woadhook_pace::rate::Least;
 
@@ -73,13 +73,13 @@
 ) -> Result<()> {
     let clock = Clock::start();
     let settings = given.settings;
-    let limits = present(&settings, "limits")?;
+    let limits = required(&settings, "limits")?;
     let connect_timeout = span(limits, "connectTimeoutUs")?;
     let idle_close = span(limits, "idleCloseUs")?;
-    let grace = span(present(&settings, "obligations")?, "stopSendingWithinUs")?;
-    let reports = text(present(&settings, "feedback")?, "how")? != "none";
-    let family = present(&settings, "familyInfo")?;
-    let classes = rows(&settings, "classes")?;
+    let grace = span(required(&settings, "obligations")?, "stopSendingWithinUs")?;
+    let reports = text(required(&settings, "feedback")?, "how")? != "none";
+    let family = required(&settings, "familyInfo")?;
+    let classes = array(&settings, "classes")?;
     let types = classes.iter().map(|class| Ok((text(class, "name")?.to_owned(), span(class, "deadlineUs")?)));
     let most = |field| numbers(family, field).map(|each| each.into_iter().fold(1.0, f64::max));
     let range = Range {
@@ -88,7 +88,7 @@
         memory: most("ramOfKindMb")?,
     };
     let longest = range.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or_default();
-    let come_back = woadhook_door::come_back(limits)?;
+    let come_back = woadhook_host::max_retry_after(limits)?;
 
     let pace = sheet.section("pace").ok_or("no section pace")?;
     let least = |rate: &str, grace: &str| Least {
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -46,7 +46,7 @@
         Rc::new(Self {
             clock,
             part,
-            longest_idle: idle_close.times(0.5),
+            longest_idle: idle_close.mul_f64(0.5),
             idle: RefCell::default(),
             waiting: Cell::new(0),
         })
@@ -79,11 +79,11 @@
     /// late, or never, at engines that are well: each would set one aside. It costs a second connection, and a
     /// descriptor if one is free, where an engine is slow to take any.
     async fn another(&self, at: SocketAddr, span: Span, thirds: u32) -> Result<Link, CallFault> {
-        let after = span.times(f64::from(thirds) / 3.0);
+        let after = span.mul_f64(f64::from(thirds) / 3.0);
         pass(after).await;
         match self.part.try_acquire_arc() {
             // Boxed, as few connections need it and each query's task would have room for it.
-            Some(permit) => Box::pin(Link::connect(at, span.less(after), permit)).await,
+            Some(permit) => Box::pin(Link::connect(at, span.saturating_sub(after), permit)).await,
             None => future::pending().await,
         }
     }
--- a/crates/router/src/starts.rs
+++ b/crates/router/src/starts.rs
@@ -3,7 +3,7 @@
 
 use serde_json::Value;
 use woadhook::{Moment, Span};
-use woadhook_door::fields::{rows, whole};
+use woadhook_host::fields::{array, integer};
 
 /// When an engine started, in Unix milliseconds by the clock of whoever noted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -12,7 +12,7 @@
 impl Stamp {
     /// The stamp in a line of the list; none where the engine started long ago.
     pub fn of(member: &Value) -> Option<Self> {
-        whole(member, "up_since_ms").ok().filter(|&at| at > 0).map(Self)
+        integer(member, "up_since_ms").ok().filter(|&at| at > 0).map(Self)
     }
 
     /// The moment on a clock that counts Unix time.
@@ -23,7 +23,7 @@
     /// The newest in all lists of so many events.
     fn newest(items: &[Value]) -> Option<Self> {
         let rosters = items.iter().filter_map(|item| item.get("roster"));
-        let members = rosters.filter_map(|roster| rows(roster, "members").ok()).flatten();
+        let members = rosters.filter_map(|roster| array(roster, "members").ok()).flatten();
         members.filter_map(Self::of).max()
     }
 }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -6,7 +6,7 @@
 use async_channel::Sender;
 use futures_lite::{FutureExt, Stream, StreamExt};
 use woadhook::Span;
-use woadhook_door::fields::Result;
+use woadhook_host::fields::Result;
 
 use crate::clock::{Clock, pass};
 use crate::config::Given;
@@ -70,7 +70,7 @@
     module: Sender<Event>,
 ) {
     let told = clock.now();
-    let by = told + longest.min(LONGEST) + STILL_COMING.less(LAST_WORDS);
+    let by = told + longest.min(LONGEST) + STILL_COMING.saturating_sub(LAST_WORDS);
     log::info!("stopping");
     let _ = module.send(Event::Stopping { by }).await;
     clock.until(told + STILL_COMING + LAST_WORDS).await;
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -20,7 +20,7 @@
 }
 
 fn before(span: f64) -> Moment {
-    Moment::from_micros(now().since(Moment::default()).less(Span::from_secs(span)).micros())
+    Moment::from_micros(now().since(Moment::default()).saturating_sub(Span::from_secs(span)).micros())
 }
 
 /// A member's key with a pass that is good now.
--- a/crates/standins/examples/decisions.rs
+++ b/crates/standins/examples/decisions.rs
@@ -32,8 +32,8 @@
         sla: millis(sla),
         sla_stretch: 2.0,
         timeout: millis(sla * 4),
-        billed: 1.0,
-        late_share: 0.2,
+        billed_value: 1.0,
+        late_value_share: 0.2,
         effect,
         ordered: false,
         zones: None,
@@ -51,37 +51,37 @@
         reservation_type(200, 1.0, Effect::Restartable),
         ReservationType { waits_for_loads: true, ..reservation_type(800, 2.0, Effect::Restartable) },
         ReservationType { ordered: true, ..reservation_type(400, 1.0, keyed) },
-        ReservationType { is_load: true, billed: 4.0, ..reservation_type(2_000, 2.0, Effect::RunOnce) },
+        ReservationType { is_load: true, billed_value: 4.0, ..reservation_type(2_000, 2.0, Effect::RunOnce) },
     ]
 }
 
 fn router(seed: u64, rough: bool) -> Router {
     let fleet = Fleet {
         zone: ZoneId(0),
-        replicas: 2,
-        number: 0,
-        cores: vec![8.0, 16.0],
-        memory: vec![16_384.0, 32_768.0],
-        crossing_price: 0.04,
+        router_count: 2,
+        router_index: 0,
+        cores_by_kind: vec![8.0, 16.0],
+        memory_mb_by_kind: vec![16_384.0, 32_768.0],
+        cross_zone_cost: 0.04,
     };
-    let cold = ColdStart { factor: 2.0, fall: millis(2_000), start_capacity: 0.25, cold_for: millis(4_000) };
-    let ration = rough.then_some(Ration { free: 10.0, share: 0.1, window: millis(5_000) });
-    let further = Further { try_limit: 4, copies: rough, cancelling: true, turn_gap: millis(5), ration };
-    let watching = Watching {
+    let cold = ColdStart { overload_factor: 2.0, overload_window: millis(2_000), start_capacity: 0.25, cold_period: millis(4_000) };
+    let retry_budget = rough.then_some(RetryBudget { free_retries: 10.0, retry_ratio: 0.1, window: millis(5_000) });
+    let further = RetryLimits { max_dispatches: 4, concurrent_dispatches: rough, can_cancel: true, key_rest: millis(5), retry_budget };
+    let watching = Monitoring {
         may_probe: true,
-        reports_by_probe: rough,
+        reports_with_probes_only: rough,
         connect_timeout: millis(250),
-        note_period: millis(200),
-        ask_within: None,
+        progress_period: millis(200),
+        max_list_age: None,
     };
-    let answers = Answers {
+    let answers = AnswerPolicy {
         slack: millis(20),
-        come_back: Some(millis(2_000)),
-        by_work: false,
-        over_share: 0.1,
-        allowances: vec![500.0, 1_000.0],
+        max_retry_after: Some(millis(2_000)),
+        value_by_work: false,
+        over_share_factor: 0.1,
+        tenant_rates: vec![500.0, 1_000.0],
     };
-    let terms = Terms { grants: true, most_grant: 0.5 };
+    let terms = MemoryGrants { enabled: true, max_grant_share: 0.5 };
     Router::new(START, seed, reservation_types(), fleet, cold, further, watching, answers, terms)
 }
 
@@ -151,7 +151,7 @@
             spent: Duration::ZERO,
             words: String::new(),
         };
-        (0..engines).for_each(|engine| pool.list(engine, Listed::Live, None));
+        (0..engines).for_each(|engine| pool.list(engine, EngineStatus::Live, None));
         pool.after(FIRST_JOB, Happens::Arrival);
         if rough {
             pool.after(FIRST_JOB, Happens::Change);
@@ -164,7 +164,7 @@
         self.coming.push(Reverse((self.now + span, self.events, happens)));
     }
 
-    fn list(&mut self, engine: usize, listed: Listed, came_up: Option<Moment>) {
+    fn list(&mut self, engine: usize, listed: EngineStatus, came_up: Option<Moment>) {
         let (zone, kind, cell) = (ZoneId(engine % 3), KindId(engine % 2), CellId(engine % 5));
         let mark = (engine as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let stamp = |at: Moment| at.since(Moment::default()).micros();
@@ -226,7 +226,7 @@
             self.after(gap, Happens::Arrival);
         }
         if self.rough && job.is_multiple_of(97) {
-            self.router.job_over(JobId(job));
+            self.router.job_closed(JobId(job));
         }
     }
 
@@ -234,7 +234,7 @@
         let Some(began) = self.out.remove(&(job, number)) else { return };
         let (outcome, took) = (OUTCOMES[outcome], self.now.since(began));
         let told =
-            (outcome == Outcome::Done).then(|| (took.times(0.9), self.chance.random_range(8.0..200.0)));
+            (outcome == Outcome::Done).then(|| (took.mul_f64(0.9), self.chance.random_range(8.0..200.0)));
         let over = outcome == Outcome::Done;
         self.router.dispatch_ended(self.now, JobId(job), number, outcome, took, told, over);
     }
@@ -248,19 +248,19 @@
             0 => machine.hangs = true,
             1 => machine.slowness = 8.0,
             2 => machine.failing = 0.3,
-            3 => self.list(engine, Listed::Draining, None),
-            4 => self.list(engine, Listed::Gone, None),
+            3 => self.list(engine, EngineStatus::Draining, None),
+            4 => self.list(engine, EngineStatus::Gone, None),
             _ => {
                 *machine = Machine { slowness: 1.0, failing: 0.0, hangs: false };
-                self.list(engine, Listed::Live, came_up);
+                self.list(engine, EngineStatus::Live, came_up);
             }
         }
         let doubted = EngineId(self.chance.random_range(0..self.engines.len()));
         let of = self.chance.random_bool(0.5).then_some(TypeId(1));
         let doubt = self.chance.random();
-        self.router.hearsay(self.now, doubted, of, doubt);
+        self.router.peer_reported(self.now, doubted, of, doubt);
         let slow = EngineId(self.chance.random_range(0..self.engines.len()));
-        self.router.sends_slowly(slow, Span::from_micros(self.chance.random_range(0..5_000)));
+        self.router.transfer_delay_measured(slow, Span::from_micros(self.chance.random_range(0..5_000)));
         self.after(CHANGE, Happens::Change);
     }
 
@@ -308,7 +308,7 @@
         self.out.insert((job, number), self.now);
         self.report(engine);
         let machine = self.engines[engine];
-        let runs = Span::from_micros(self.chance.random_range(1_000..30_000)).times(machine.slowness);
+        let runs = Span::from_micros(self.chance.random_range(1_000..30_000)).mul_f64(machine.slowness);
         let fails = machine.failing > 0.0 && self.chance.random_bool(machine.failing);
         let failure = self.chance.random_range(1..OUTCOMES.len() - 1);
         let (span, outcome) = match () {
@@ -320,13 +320,13 @@
         self.after(span, Happens::Ended { job, number, outcome });
         if self.rough && !machine.hangs && job.is_multiple_of(5) {
             let progress = [
-                Progress::Share(0.5),
+                Progress::Fraction(0.5),
                 Progress::Spills(30.0),
                 Progress::WaitsForMemory,
                 Progress::WaitsForLoad,
             ];
             let progress = progress[self.chance.random_range(0..progress.len())];
-            self.router.progressed(self.now, JobId(job), number, progress);
+            self.router.progress_reported(self.now, JobId(job), number, progress);
         }
     }
 
@@ -334,7 +334,7 @@
     fn report(&mut self, engine: usize) {
         let active = Some(self.chance.random_range(0.0..8.0));
         let (waiting, cpu) = (Some(self.chance.random_range(0.0..2.0)), Some(self.chance.random()));
-        self.router.reported(self.now, EngineId(engine), active, waiting, cpu, None);
+        self.router.load_reported(self.now, EngineId(engine), active, waiting, cpu, None);
     }
 }
 
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -85,7 +85,7 @@
     fn now(&self, true_now: Moment) -> Moment {
         let (by, behind) = self.clock;
         if behind {
-            Moment::from_micros(true_now.since(Moment::default()).less(by).micros())
+            Moment::from_micros(true_now.since(Moment::default()).saturating_sub(by).micros())
         } else {
             true_now + by
         }
@@ -292,7 +292,7 @@
     /// Lets time pass until something holds; how long that took, or nothing where it did not within `most`.
     pub fn until(&mut self, most: Span, mut holds: impl FnMut(&Self) -> bool) -> Option<Span> {
         let start = self.now;
-        let step = self.pace.period.times(0.25);
+        let step = self.pace.period.mul_f64(0.25);
         while self.now.since(start) <= most {
             if holds(self) {
                 return Some(self.now.since(start));
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -64,7 +64,7 @@
         }
         let copies = 1 + usize::from(self.chance.random_bool(twice));
         for _ in 0..copies {
-            let delay = least + most.less(least).times(self.chance.random::<f64>());
+            let delay = least + most.saturating_sub(least).mul_f64(self.chance.random::<f64>());
             let lag = self.lags.get(&from).copied().unwrap_or_default();
             self.count += 1;
             self.flying.insert((now + delay + lag, self.count), (from, to, bytes.clone()));
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -7,8 +7,8 @@
 use rand_pcg::Pcg32;
 use serde_json::Value;
 use woadhook::{CellId, KindId, ZoneId};
-use woadhook::{Decision, EngineId, Forgotten, GroupId, JobId, Listed, Moment, Outcome, Span, TypeId};
-use woadhook_door::Instance;
+use woadhook::{Decision, EngineId, Forgotten, GroupId, JobId, EngineStatus, Moment, Outcome, Span, TypeId};
+use woadhook_host::Instance;
 use woadhook_gossip::EngineCondition;
 
 use crate::cluster::{Cluster, secs, usual_pace};
@@ -80,7 +80,7 @@
     Ends { router: usize, job: usize, number: usize, outcome: Outcome },
     Probed { router: usize, engine: usize, outcome: Outcome },
     Wakes { router: usize },
-    Listed { router: usize, engine: usize, listed: Listed },
+    Listed { router: usize, engine: usize, listed: EngineStatus },
     Turns { engine: usize, fate: Fate },
 }
 
@@ -107,16 +107,16 @@
             let settings = settings(rates.len(), number);
             let mut instance = Instance::start(now, seed + number as u64, &settings).unwrap();
             for name in &names {
-                let engine = EngineId(instance.engines.admit(name));
+                let engine = EngineId(instance.engines.intern(name));
                 instance.router.engine_listed(
                     now,
                     engine,
                     ZoneId(0),
                     KindId(0),
                     CellId(0),
-                    Listed::Live,
+                    EngineStatus::Live,
                     None,
-                    instance.engines.mark(engine.0),
+                    instance.engines.stable_hash(engine.0),
                 );
             }
             let (jobs, out) = (Vec::new(), BTreeMap::new());
@@ -157,7 +157,7 @@
     }
 
     /// A router's list says so after a span.
-    pub fn lists(&mut self, after: Span, router: usize, engine: usize, listed: Listed) {
+    pub fn lists(&mut self, after: Span, router: usize, engine: usize, listed: EngineStatus) {
         self.happens(self.now() + after, Happening::Listed { router, engine, listed });
     }
 
@@ -165,7 +165,7 @@
     pub fn whisper(&mut self, router: usize, engine: usize, of: Option<usize>, doubt: f64) {
         let now = self.now();
         if let Some(id) = self.id(router, engine) {
-            self.hosts[router].instance.router.hearsay(now, id, of.map(TypeId), doubt);
+            self.hosts[router].instance.router.peer_reported(now, id, of.map(TypeId), doubt);
             self.pull(router);
         }
     }
@@ -206,8 +206,8 @@
             let now = self.now();
             let instance = &mut self.hosts[router].instance;
             let kind = of.map(|of| instance.types.iter().position(|known| *known == of));
-            if let (Some(engine), false) = (instance.engines.find(&engine), kind == Some(None)) {
-                instance.router.hearsay(now, EngineId(engine), kind.flatten().map(TypeId), doubt);
+            if let (Some(engine), false) = (instance.engines.get(&engine), kind == Some(None)) {
+                instance.router.peer_reported(now, EngineId(engine), kind.flatten().map(TypeId), doubt);
             }
             self.pull(router);
         }
@@ -262,13 +262,13 @@
                 }
             }
             Happening::Listed { router, engine, listed } => {
-                if listed != Listed::Live {
+                if listed != EngineStatus::Live {
                     self.engines[engine].told.entry(router).or_insert(now);
                 }
                 let name = self.engines[engine].name.clone();
                 let instance = &mut self.hosts[router].instance;
-                let id = EngineId(instance.engines.admit(&name));
-                let mark = instance.engines.mark(id.0);
+                let id = EngineId(instance.engines.intern(&name));
+                let mark = instance.engines.stable_hash(id.0);
                 instance.router.engine_listed(now, id, ZoneId(0), KindId(0), CellId(0), listed, None, mark);
                 self.pull(router);
             }
@@ -293,7 +293,7 @@
     }
 
     fn id(&self, router: usize, engine: usize) -> Option<EngineId> {
-        self.hosts[router].instance.engines.find(&self.engines[engine].name).map(EngineId)
+        self.hosts[router].instance.engines.get(&self.engines[engine].name).map(EngineId)
     }
 
     fn end(&mut self, router: usize, job: usize, number: usize, outcome: Outcome) {
@@ -355,7 +355,7 @@
                     self.happens(at, Happening::Wakes { router });
                 }
                 Decision::SetAside { engine, why } => {
-                    let seen = if why == woadhook::Aside::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
+                    let seen = if why == woadhook::SetAsideReason::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
                     let name = self.hosts[router].instance.engines.name(engine.0).to_owned();
                     self.tell(router, |now, core| core.engine_judged(now, &name, seen));
                 }
@@ -364,7 +364,7 @@
                     self.tell(router, |now, core| core.engine_judged(now, &name, EngineCondition::Well));
                 }
                 Decision::Forget(Forgotten::Engine(engine)) => {
-                    self.hosts[router].instance.engines.forget(engine.0);
+                    self.hosts[router].instance.engines.release(engine.0);
                 }
                 Decision::Forget(_) | Decision::Subscribe => {}
             }
@@ -417,7 +417,7 @@
                 _ => None,
             })
             .collect();
-        let mean = took.iter().copied().sum::<Span>().times(1.0 / took.len().max(1) as f64);
+        let mean = took.iter().copied().sum::<Span>().mul_f64(1.0 / took.len().max(1) as f64);
         (mean, took.into_iter().max().unwrap_or_default())
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -59,9 +59,9 @@
     /// The SLA time grows by this many times a job's work over its threads.
     pub sla_stretch: f64,
     pub timeout: Span,
-    pub billed: f64,
+    pub billed_value: f64,
     /// Share of the billed value that an answer after the SLA time still earns.
-    pub late_share: f64,
+    pub late_value_share: f64,
     pub effect: Effect,
     pub ordered: bool,
     /// Where given, the only zones that may run it.
@@ -77,7 +77,7 @@
 
 /// What the engine list says of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum EngineStatus {
     #[default]
     Live,
     Draining,
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
     /// The share of the work that is done.
-    Share(f64),
+    Fraction(f64),
     /// It spills to disk for want of so many megabytes.
     Spills(f64),
     WaitsForMemory,
@@ -160,12 +160,12 @@
     Throttle {
         job: JobId,
         come_back: Option<Span>,
-        why: GivenUp,
+        why: GiveUpReason,
     },
     /// Final answer: it failed, and nothing is promised about its effect.
     CancelForGood {
         job: JobId,
-        why: GivenUp,
+        why: GiveUpReason,
     },
     Probe {
         engine: EngineId,
@@ -181,7 +181,7 @@
     /// An engine was set aside: worth a line in the log, and a word to other routers where they talk.
     SetAside {
         engine: EngineId,
-        why: Aside,
+        why: SetAsideReason,
     },
     /// An engine that was set aside is back.
     Back {
@@ -191,7 +191,7 @@
 
 /// Why a job is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GivenUp {
+pub enum GiveUpReason {
     /// Its client's time is over.
     TimeOver,
     /// It has had as many dispatches as it may have.
@@ -206,7 +206,7 @@
 
 /// Why an engine is set aside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Aside {
+pub enum SetAsideReason {
     /// No word from it with work out there.
     Silent,
     /// A connection was reset or refused.
@@ -215,13 +215,13 @@
     Unanswered,
 }
 
-impl Aside {
+impl SetAsideReason {
     /// In words, for a log line.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Aside::Silent => "silent",
-            Aside::Failed => "reset or not connected",
-            Aside::Unanswered => "probe not answered",
+            SetAsideReason::Silent => "silent",
+            SetAsideReason::Failed => "reset or not connected",
+            SetAsideReason::Unanswered => "probe not answered",
         }
     }
 }
@@ -231,75 +231,75 @@
 pub struct Fleet {
     pub zone: ZoneId,
     /// How many routers there are, and which of them, counted from 0, this one is.
-    pub replicas: usize,
-    pub number: usize,
+    pub router_count: usize,
+    pub router_index: usize,
     /// Both by kind of machine.
-    pub cores: Vec<f64>,
-    pub memory: Vec<f64>,
+    pub cores_by_kind: Vec<f64>,
+    pub memory_mb_by_kind: Vec<f64>,
     /// Part of the result that is lost when every dispatch crosses zones.
-    pub crossing_price: f64,
+    pub cross_zone_cost: f64,
 }
 
 /// How much work makes a cold engine fall over.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
-    pub factor: f64,
-    pub fall: Span,
+    pub overload_factor: f64,
+    pub overload_window: Span,
     pub start_capacity: f64,
-    pub cold_for: Span,
+    pub cold_period: Span,
 }
 
 /// Limits on a job's dispatches past the first.
 #[derive(Clone, Debug)]
-pub struct Further {
-    pub try_limit: usize,
+pub struct RetryLimits {
+    pub max_dispatches: usize,
     /// Whether two dispatches of one job may be out at once.
-    pub copies: bool,
-    pub cancelling: bool,
+    pub concurrent_dispatches: bool,
+    pub can_cancel: bool,
     /// How long a key rests after a dispatch that may still run.
-    pub turn_gap: Span,
-    pub ration: Option<Ration>,
+    pub key_rest: Span,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// A few dispatches plus a share of the jobs taken, in any window.
 #[derive(Clone, Copy, Debug)]
-pub struct Ration {
-    pub free: f64,
-    pub share: f64,
+pub struct RetryBudget {
+    pub free_retries: f64,
+    pub retry_ratio: f64,
     pub window: Span,
 }
 
 /// How engines are watched and the list is followed.
 #[derive(Clone, Debug)]
-pub struct Watching {
+pub struct Monitoring {
     pub may_probe: bool,
     /// Load reports come with probes alone.
-    pub reports_by_probe: bool,
+    pub reports_with_probes_only: bool,
     pub connect_timeout: Span,
     /// Zero where no notes of progress come.
-    pub note_period: Span,
+    pub progress_period: Span,
     /// Where the list must be asked for: how old an answer may grow.
-    pub ask_within: Option<Span>,
+    pub max_list_age: Option<Span>,
 }
 
 /// How final answers count.
 #[derive(Clone, Debug)]
-pub struct Answers {
+pub struct AnswerPolicy {
     pub slack: Span,
     /// The longest come-back time that clients heed, where they are told one.
-    pub come_back: Option<Span>,
+    pub max_retry_after: Option<Span>,
     /// Whether the billed value counts by work instead of by job.
-    pub by_work: bool,
+    pub value_by_work: bool,
     /// Part of the billed value that a job beyond its tenant's share earns.
-    pub over_share: f64,
+    pub over_share_factor: f64,
     /// Jobs a second within each tenant's share, at all routers together.
-    pub allowances: Vec<f64>,
+    pub tenant_rates: Vec<f64>,
 }
 
 /// Memory grants. Priorities are always told, as engines that don't heed them pass them over.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    pub grants: bool,
+pub struct MemoryGrants {
+    pub enabled: bool,
     /// Part of an engine's memory that one job gets at most.
-    pub most_grant: f64,
+    pub max_grant_share: f64,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,5 +1,5 @@
 //! Every decision of woadhook. A host builds one [`Router`] from the parts below, each made from the few
-//! settings that it needs, tells it what happens (`job_arrived`, `dispatch_ended`, `reported`, ...) and then
+//! settings that it needs, tells it what happens (`job_arrived`, `dispatch_ended`, `load_reported`, ...) and then
 //! pulls [`Router::next_decision`] until it gives none. The words of both sides are in `interface.rs`.
 //!
 //! The ordinary path is Index/Load: a job goes to the allowed engine of smallest estimated wait plus run,
@@ -8,7 +8,7 @@
 //!
 //! 1. a limit on the threads in flight, with parts for engines and loads; the rest waits (`judge`, `homes`),
 //! 2. engines set aside on silence, resets or failed connects, back after probes (`watch`), which hearsay of
-//!    other routers brings forward (`hearsay`),
+//!    other routers brings forward (`peer_reported`),
 //! 3. a budget of work for cold engines, at which the routers take turns (`slow_start`),
 //! 4. the order of held jobs, and throttling at once of what can't be done in time (`give_up`),
 //! 5. time-outs and further dispatches (`lost`, `cancel_lost`),
@@ -69,10 +69,10 @@
     estimates: Estimates,
     fleet: Fleet,
     slow_start: SlowStart,
-    further: Further,
-    watching: Watching,
-    answers: Answers,
-    terms: Terms,
+    further: RetryLimits,
+    watching: Monitoring,
+    answers: AnswerPolicy,
+    terms: MemoryGrants,
     bounds: Bounds,
     /// The in-flight limit over what it starts from, and whether a bad answer has cut it yet.
     fill: f64,
@@ -103,11 +103,11 @@
 
 impl Router {
     pub fn new(
-        now: Moment, seed: u64, types: Vec<ReservationType>, fleet: Fleet, cold: ColdStart, further: Further,
-        watching: Watching, answers: Answers, terms: Terms,
+        now: Moment, seed: u64, types: Vec<ReservationType>, fleet: Fleet, cold: ColdStart, further: RetryLimits,
+        watching: Monitoring, answers: AnswerPolicy, terms: MemoryGrants,
     ) -> Self {
-        let parts = vec![(1.0, now); answers.allowances.len()];
-        let subscribed = watching.ask_within.is_none();
+        let parts = vec![(1.0, now); answers.tenant_rates.len()];
+        let subscribed = watching.max_list_age.is_none();
         let bounds = Bounds::new(&types, &watching);
         Self {
             chance: Pcg32::seed_from_u64(seed),
@@ -149,24 +149,24 @@
         let t = &self.types[kind.0];
         let learned = (self.estimates.work[kind.0].value, self.estimates.work_bias[kind.0].value);
         let work = told.map_or(learned.0, |span| span.secs() * learned.1);
-        let worth = if self.answers.by_work { work } else { 1.0 };
+        let worth = if self.answers.value_by_work { work } else { 1.0 };
         let key = key.filter(|_| t.ordered);
         if let Some(key) = key {
             self.keys.entry(key).or_default().jobs.push_back(job);
         }
-        self.taken.extend(self.further.ration.map(|_| now));
+        self.taken.extend(self.further.retry_budget.map(|_| now));
         self.estimates.all_work.add(work, MEMORY);
         if told.is_some() {
             self.estimates.work[kind.0].add(work, MEMORY);
         }
         let sla_due = now + sla_of(t, work);
-        let (billed, deadline) = (t.billed * earned * worth, now + expires);
+        let (billed, deadline) = (t.billed_value * earned * worth, now + expires);
         let new = Job { kind, group, key, told, work, memory, sla_due, deadline, billed, ..Job::default() };
         self.jobs.insert(job, new);
     }
 
     /// The client left, or the job ended by other means.
-    pub fn job_over(&mut self, job: JobId) {
+    pub fn job_closed(&mut self, job: JobId) {
         if let Some(record) = self.jobs.get_mut(&job) {
             record.over = true;
         }
@@ -174,7 +174,7 @@
     }
 
     /// The host ends by then, and with it what it still holds.
-    pub fn stopping(&mut self, by: Moment) {
+    pub fn stop_by(&mut self, by: Moment) {
         self.jobs.values_mut().for_each(|job| job.deadline = job.deadline.min(by));
     }
 
@@ -192,12 +192,12 @@
         let t = &self.types[record.kind.0];
         if let (Some(key), true) = (record.key, outcome.may_still_run()) {
             let turns = self.keys.entry(key).or_default();
-            turns.rest_until = turns.rest_until.max(now + self.further.turn_gap);
+            turns.rest_until = turns.rest_until.max(now + self.further.key_rest);
         }
         if outcome == Outcome::Done {
             self.estimates.served(t, record, dispatch, told, took);
         }
-        let good = outcome == Outcome::Done && took <= sla_of(t, record.work).times(GOOD_PART);
+        let good = outcome == Outcome::Done && took <= sla_of(t, record.work).mul_f64(GOOD_PART);
         let failed = matches!(outcome, Outcome::Reset | Outcome::NotConnected);
         let silent = failed || dispatch.stood || matches!(outcome, Outcome::Cancelled | Outcome::NotIssued);
         let (kind, id, judged) = (record.kind, dispatch.engine, dispatch.judged);
@@ -219,7 +219,7 @@
             }
         }
         if failed {
-            self.set_aside(id, Aside::Failed);
+            self.set_aside(id, SetAsideReason::Failed);
         }
         self.drop_if_spent(job);
     }
@@ -233,21 +233,21 @@
     pub fn key_settled(&mut self, now: Moment, key: KeyId) {
         if let Some(turns) = self.keys.get_mut(&key) {
             turns.in_doubt = turns.in_doubt.saturating_sub(1);
-            turns.rest_until = turns.rest_until.max(now + self.further.turn_gap);
+            turns.rest_until = turns.rest_until.max(now + self.further.key_rest);
         }
     }
 
-    pub fn progressed(&mut self, now: Moment, job: JobId, number: usize, progress: Progress) {
+    pub fn progress_reported(&mut self, now: Moment, job: JobId, number: usize, progress: Progress) {
         let hold = now + self.bounds.load_run;
         let Some(record) = self.jobs.get_mut(&job) else { return };
         let Some(dispatch) = record.dispatches.get_mut(number) else { return };
         let Some(engine) = self.engines.get_mut(&dispatch.engine) else { return };
         engine.heard = now;
         match progress {
-            Progress::Share(share) => {
+            Progress::Fraction(share) => {
                 dispatch.share = Some((now, share));
                 let t = &self.types[record.kind.0];
-                let foretold = now.since(dispatch.sent).times(1.0 / share.max(1e-3));
+                let foretold = now.since(dispatch.sent).mul_f64(1.0 / share.max(1e-3));
                 let misses = foretold > sla_of(t, record.work) && !dispatch.stood;
                 if misses && !std::mem::replace(&mut dispatch.judged, true) {
                     let (kind, at) = (record.kind, dispatch.engine);
@@ -269,7 +269,7 @@
     }
 
     /// A load report, used on arrival; what it lacks is `None`.
-    pub fn reported(
+    pub fn load_reported(
         &mut self, now: Moment, engine: EngineId, active: Option<f64>, waiting: Option<f64>,
         cpu: Option<f64>, disks: Option<f64>,
     ) {
@@ -287,7 +287,7 @@
         }
         if !matches!(outcome, Outcome::Done | Outcome::TurnedAway) {
             engine.aside = engine.aside.map(|_| ANSWERS_TO_RETURN);
-            return self.set_aside(id, Aside::Unanswered);
+            return self.set_aside(id, SetAsideReason::Unanswered);
         }
         engine.heard = now;
         let Some(left) = engine.aside else { return };
@@ -298,7 +298,7 @@
         }
     }
 
-    fn set_aside(&mut self, id: EngineId, why: Aside) {
+    fn set_aside(&mut self, id: EngineId, why: SetAsideReason) {
         if let Some(engine) = self.engines.get_mut(&id).filter(|engine| engine.aside.is_none()) {
             engine.aside = Some(ANSWERS_TO_RETURN);
             self.calm_until = None;
@@ -307,14 +307,14 @@
     }
 
     /// An engine sends a usual result by so much slower than its peers.
-    pub fn sends_slowly(&mut self, id: EngineId, longer: Span) {
+    pub fn transfer_delay_measured(&mut self, id: EngineId, longer: Span) {
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.longer = longer;
         }
     }
 
     /// Other routers doubt an engine so far, from 0 to 1; of one type, or all.
-    pub fn hearsay(&mut self, now: Moment, id: EngineId, of: Option<TypeId>, doubt: f64) {
+    pub fn peer_reported(&mut self, now: Moment, id: EngineId, of: Option<TypeId>, doubt: f64) {
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.hearsay.insert(of, (doubt.clamp(0.0, 1.0), now));
             self.calm_until = None;
@@ -337,15 +337,15 @@
 
     /// One line of the engine list.
     pub fn engine_listed(
-        &mut self, now: Moment, id: EngineId, zone: ZoneId, kind: KindId, cell: CellId, listed: Listed,
-        start: Option<EngineStart>, mark: u64,
+        &mut self, now: Moment, id: EngineId, zone: ZoneId, kind: KindId, cell: CellId, listed: EngineStatus,
+        start: Option<EngineStart>, stable_hash: u64,
     ) {
-        let cold_since = start.map(|start| now.before(start.age));
+        let cold_since = start.map(|start| now.saturating_sub(start.age));
         let stamp = start.map(|start| start.stamp);
-        let fresh = Engine { mark, start: stamp, cold_since, heard: now, ..Engine::default() };
+        let fresh = Engine { stable_hash, start: stamp, cold_since, heard: now, ..Engine::default() };
         let engine = self.engines.entry(id).or_insert(fresh);
         (engine.zone, engine.kind, engine.cell, engine.listed) = (zone, kind, cell, listed);
-        self.some_gone |= listed == Listed::Gone;
+        self.some_gone |= listed == EngineStatus::Gone;
         // Any other stamp is another start, also an earlier one: the engine's clock may have stepped back between.
         if stamp.is_some() && stamp != engine.start {
             (engine.start, engine.cold_since) = (stamp, engine.cold_since.max(cold_since));
@@ -359,7 +359,7 @@
         self.list_changed();
         let named: BTreeSet<EngineId> = named.iter().copied().collect();
         for (_, engine) in self.engines.iter_mut().filter(|(id, _)| !named.contains(id)) {
-            engine.listed = Listed::Gone;
+            engine.listed = EngineStatus::Gone;
             self.some_gone = true;
         }
     }
@@ -369,23 +369,23 @@
     }
 
     pub fn list_unavailable(&mut self) {
-        self.subscribed = self.watching.ask_within.is_none();
+        self.subscribed = self.watching.max_list_age.is_none();
     }
 
     /// The share of the billed value that a job of this tenant earns, taking it from the tenant's part.
     fn share_earned(&mut self, tenant: Option<TenantId>, now: Moment) -> f64 {
         let Some(id) = tenant.filter(|id| id.0 < self.parts.len()) else { return 1.0 };
-        let rate = self.answers.allowances[id.0] * self.share();
+        let rate = self.answers.tenant_rates[id.0] * self.share();
         let (left, since) = self.parts[id.0];
         let left = (left + rate * now.since(since).secs()).min(rate.max(1.0));
         let within = left >= 1.0;
         self.parts[id.0] = (if within { left - 1.0 } else { left }, now);
-        if within { 1.0 } else { self.answers.over_share }
+        if within { 1.0 } else { self.answers.over_share_factor }
     }
 
     /// Engines that are live and not set aside; if all are, all that are live.
     fn usable(&self) -> Vec<(EngineId, &Engine)> {
-        let live = || self.engines.iter().filter(|(_, e)| e.listed == Listed::Live).map(|(id, e)| (*id, e));
+        let live = || self.engines.iter().filter(|(_, e)| e.listed == EngineStatus::Live).map(|(id, e)| (*id, e));
         let well: Vec<_> = live().filter(|(_, e)| e.aside.is_none()).collect();
         if well.is_empty() { live().collect() } else { well }
     }
@@ -422,11 +422,11 @@
 
     /// This router's part of the fleet.
     fn share(&self) -> f64 {
-        1.0 / self.fleet.replicas.max(1) as f64
+        1.0 / self.fleet.router_count.max(1) as f64
     }
 
     fn cores(&self, kind: KindId) -> f64 {
-        self.fleet.cores.get(kind.0).copied().unwrap_or(1.0).max(1.0)
+        self.fleet.cores_by_kind.get(kind.0).copied().unwrap_or(1.0).max(1.0)
     }
 
     fn drop_if_spent(&mut self, job: JobId) {
@@ -444,7 +444,7 @@
         self.watch(now);
         self.follow_list(now)
             .or_else(|| self.give_up(now))
-            .or_else(|| if self.further.cancelling { self.cancel_lost(now) } else { None })
+            .or_else(|| if self.further.can_cancel { self.cancel_lost(now) } else { None })
             .or_else(|| self.dispatch(now))
             .or_else(|| if self.watching.may_probe { self.probe(now) } else { None })
             .or_else(|| self.news.pop_front())
@@ -461,7 +461,7 @@
                 .values_mut()
                 .for_each(|engine| engine.let_go(now, self.slow_start.window(), self.bounds));
         }
-        if let Some(ration) = &self.further.ration {
+        if let Some(ration) = &self.further.retry_budget {
             while self.taken.front().is_some_and(|&at| now.since(at) >= ration.window) {
                 self.taken.pop_front();
             }
@@ -474,9 +474,9 @@
         self.forgotten.extend(rested.map(|(key, _)| Forgotten::Key(key)));
         if self.some_gone {
             let idle = |e: &mut Engine| e.out.is_empty() && !e.probe_out;
-            let gone = self.engines.extract_if(.., |_, e| e.listed == Listed::Gone && idle(e));
+            let gone = self.engines.extract_if(.., |_, e| e.listed == EngineStatus::Gone && idle(e));
             self.forgotten.extend(gone.map(|(id, _)| Forgotten::Engine(id)));
-            self.some_gone = self.engines.values().any(|e| e.listed == Listed::Gone);
+            self.some_gone = self.engines.values().any(|e| e.listed == EngineStatus::Gone);
         }
     }
 
@@ -488,7 +488,7 @@
             return calm;
         }
         let first = self.engines.values().filter_map(Engine::silent_since).min().unwrap_or(now);
-        let until = first + self.bounds.patience.times(0.5);
+        let until = first + self.bounds.patience.mul_f64(0.5);
         self.calm_until = Some(until);
         now <= until
     }
@@ -500,7 +500,7 @@
             return;
         }
         let patience = self.bounds.patience;
-        let live = || self.engines.iter().filter(|(_, e)| e.listed == Listed::Live);
+        let live = || self.engines.iter().filter(|(_, e)| e.listed == EngineStatus::Live);
         let silent = live().filter(|(_, e)| e.aside.is_none() && e.silent(now, patience));
         let silent: Vec<EngineId> = silent.map(|(id, _)| *id).collect();
         if silent.is_empty() {
@@ -508,13 +508,13 @@
         }
         let room = (live().count() / 2).saturating_sub(live().filter(|(_, e)| e.aside.is_some()).count());
         for id in silent.into_iter().take(room) {
-            self.set_aside(id, Aside::Silent);
+            self.set_aside(id, SetAsideReason::Silent);
         }
     }
 
     /// Where the list must be asked for, asks long before rule 3 would hold a change as told.
     fn follow_list(&mut self, now: Moment) -> Option<Decision> {
-        let ask_again = self.watching.ask_within?.times(0.25);
+        let ask_again = self.watching.max_list_age?.mul_f64(0.25);
         if self.subscribed || self.asked.is_some_and(|at| now.since(at) < ask_again) {
             return None;
         }
@@ -527,8 +527,8 @@
         let given_up =
             |(id, job): (&JobId, &Job)| Some((*id, self.hopeless(job, now)?, self.may_throttle(job)));
         let (job, why, harmless) = self.jobs.iter().find_map(given_up)?;
-        self.job_over(job);
-        let throttle = Decision::Throttle { job, come_back: self.answers.come_back, why };
+        self.job_closed(job);
+        let throttle = Decision::Throttle { job, come_back: self.answers.max_retry_after, why };
         Some(if harmless { throttle } else { Decision::CancelForGood { job, why } })
     }
 
@@ -581,21 +581,21 @@
 
     fn send(&mut self, now: Moment, id: JobId, to: EngineId) -> Option<Decision> {
         let fair = self.estimates.all_work.value.max(1e-3);
-        let billed: f64 = self.types.iter().map(|t| t.billed).sum::<f64>() / self.types.len() as f64;
+        let billed: f64 = self.types.iter().map(|t| t.billed_value).sum::<f64>() / self.types.len() as f64;
         let density = self.density(&self.jobs[&id], now) / (billed / fair);
-        let retry = !self.further.cancelling && !self.further.copies;
+        let retry = !self.further.can_cancel && !self.further.concurrent_dispatches;
         let before = self.repeat_before(&self.jobs[&id]);
         let (job, engine) = (self.jobs.get_mut(&id)?, self.engines.get_mut(&to)?);
         let t = &self.types[job.kind.0];
-        let most = self.terms.most_grant * self.fleet.memory.get(engine.kind.0).copied().unwrap_or(0.0);
+        let most = self.terms.max_grant_share * self.fleet.memory_mb_by_kind.get(engine.kind.0).copied().unwrap_or(0.0);
         let grant = (job.memory * self.estimates.memory_bias[job.kind.0].0).min(most);
-        let grant = if self.terms.grants { grant } else { 0.0 };
+        let grant = if self.terms.enabled { grant } else { 0.0 };
         let step = PRIORITY_STEPS.iter().filter(|step| density >= **step).count() as u8;
         let priority = if t.is_load { step.max(PRIORITY_STEPS.len() as u8 - 1) } else { step };
         let left = job.deadline.since(now);
         let timeout = if retry && t.effect != Effect::RunOnce { left.min(sla_of(t, job.work)) } else { left };
         let number = job.dispatches.len();
-        self.resent.extend(self.further.ration.filter(|_| number > 0).map(|_| now));
+        self.resent.extend(self.further.retry_budget.filter(|_| number > 0).map(|_| now));
         engine.sent.push((now, self.estimates.work[job.kind.0].value));
         let warm = self.bounds.is_warm(engine.groups.insert(job.group, now).as_ref(), now);
         let sent = Sent { at: now, kind: job.kind, group: job.group, work: job.work, threads: t.threads };
@@ -618,26 +618,26 @@
         let gone = self.engines.get(&dispatch.engine).is_none_or(|e| e.aside.is_some());
         let fresh = self.fresh_run(job);
         let ran = now.since(dispatch.sent);
-        let holds = self.watching.note_period.times(OVERDUE_PERIODS);
+        let holds = self.watching.progress_period.mul_f64(OVERDUE_PERIODS);
         let word = dispatch.share.filter(|(at, _)| now.since(*at) <= holds);
         let slow = match word {
             Some((at, share)) => {
-                let total = at.since(dispatch.sent).times(1.0 / share.max(1e-3));
-                total.less(ran) > fresh.times(LOST_RUNS) && ran > fresh
+                let total = at.since(dispatch.sent).mul_f64(1.0 / share.max(1e-3));
+                total.saturating_sub(ran) > fresh.mul_f64(LOST_RUNS) && ran > fresh
             }
-            None => ran > fresh.times(OVERDUE_RUNS).max(t.sla.times(OVERDUE_PART)),
+            None => ran > fresh.mul_f64(OVERDUE_RUNS).max(t.sla.mul_f64(OVERDUE_PART)),
         };
         (gone || slow) && now + fresh < job.deadline
     }
 
     /// How long a new dispatch of a job would take, as its type goes these days.
     fn fresh_run(&self, job: &Job) -> Span {
-        t_run(&self.types[job.kind.0], job.work).times(self.estimates.stretch[job.kind.0].max(1.0))
+        t_run(&self.types[job.kind.0], job.work).mul_f64(self.estimates.stretch[job.kind.0].max(1.0))
     }
 
     fn cancel_lost(&mut self, now: Moment) -> Option<Decision> {
         let (id, number) = self.jobs.iter().find_map(|(id, job)| {
-            let again = job.dispatches.len() < self.further.try_limit
+            let again = job.dispatches.len() < self.further.max_dispatches
                 && self.repeat_safe(job, None, now)
                 && self.ration_left();
             let lost = job.dispatches.iter().position(|d| self.lost(job, d, now));
@@ -650,15 +650,15 @@
     /// Probes engines that are set aside or quiet with work out, and, where only probes carry reports, one
     /// drawn by chance, thriftily: probes in an order would tell all routers of the same engines.
     fn probe(&mut self, now: Moment) -> Option<Decision> {
-        let (every, quiet) = (self.watching.connect_timeout.times(2.0), self.bounds.patience.times(0.5));
+        let (every, quiet) = (self.watching.connect_timeout.mul_f64(2.0), self.bounds.patience.mul_f64(0.5));
         let due = |e: &Engine| !e.probe_out && e.probed.is_none_or(|at| now.since(at) >= every);
         let told = |e: &Engine| e.silent(now, quiet) || self.doubt(e, None, now) > 0.0;
-        let doubtful = |e: &Engine| e.listed != Listed::Gone && (e.aside.is_some() || told(e));
+        let doubtful = |e: &Engine| e.listed != EngineStatus::Gone && (e.aside.is_some() || told(e));
         let calm = self.calm_until.is_some_and(|until| now <= until);
         let doubted = || self.engines.iter().find(|(_, e)| due(e) && doubtful(e));
         let mut pick = if calm { None } else { doubted().map(|(id, _)| *id) };
-        if pick.is_none() && self.watching.reports_by_probe && self.since_probe >= DISPATCHES_PER_PROBE {
-            let live = self.engines.iter().filter(|(_, e)| e.listed == Listed::Live && due(e));
+        if pick.is_none() && self.watching.reports_with_probes_only && self.since_probe >= DISPATCHES_PER_PROBE {
+            let live = self.engines.iter().filter(|(_, e)| e.listed == EngineStatus::Live && due(e));
             let live: Vec<EngineId> = live.map(|(id, _)| *id).collect();
             pick = live.get(self.chance.random_range(0..live.len().max(1))).copied();
             self.since_probe = 0;
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -76,7 +76,7 @@
         total += t.timeout.secs() * errors(Some(job.kind)).max(any).powi(2);
         total += t.sla.secs() * self.doubt(engine, None, now).max(self.doubt(engine, Some(job.kind), now));
         if engine.zone != self.fleet.zone {
-            total += self.fleet.crossing_price * t.sla.secs();
+            total += self.fleet.cross_zone_cost * t.sla.secs();
         }
         total
     }
@@ -84,7 +84,7 @@
     /// Exception to the design: what is left of loads that hold the table group there, own or as it seems.
     pub(super) fn load_hold(&self, engine: &Engine, group: GroupId, now: Moment) -> f64 {
         let run = self.bounds.load_run;
-        let own = self.own_loads(engine, group).map(|s| (s.at + run).max(now + run.times(0.25)));
+        let own = self.own_loads(engine, group).map(|s| (s.at + run).max(now + run.mul_f64(0.25)));
         own.chain(engine.holds.get(&group).copied()).max().map_or(0.0, |until| until.since(now).secs())
     }
 
@@ -99,7 +99,7 @@
     /// behind them on idle engines. It also stops bursts of loads; it may hurt where most work is loads.
     /// Tells of each of the usable engines whether it is among them.
     pub(super) fn homes(group: GroupId, usable: &[(EngineId, &Engine)]) -> Vec<bool> {
-        let draw = |e: &Engine| Pcg32::new(group.0 as u64, e.mark).random::<u32>();
+        let draw = |e: &Engine| Pcg32::new(group.0 as u64, e.stable_hash).random::<u32>();
         let mut drawn: Vec<_> = usable.iter().enumerate().map(|(place, (_, e))| (draw(e), place)).collect();
         let count = drawn.len().div_ceil(2);
         if count < drawn.len() {
@@ -114,7 +114,7 @@
     pub(super) fn density(&self, job: &Job, now: Moment) -> f64 {
         let t = &self.types[job.kind.0];
         let late = now + t_run(t, job.work) > job.sla_due;
-        job.billed * if late { t.late_share } else { 1.0 } / job.work.max(1e-3)
+        job.billed * if late { t.late_value_share } else { 1.0 } / job.work.max(1e-3)
     }
 
     /// The order of held jobs: density, the more pressing the less of the SLA time is left to wait.
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -11,27 +11,27 @@
 
 impl Router {
     /// Why a job is to be given up now, if it is.
-    pub(super) fn hopeless(&self, job: &Job, now: Moment) -> Option<GivenUp> {
+    pub(super) fn hopeless(&self, job: &Job, now: Moment) -> Option<GiveUpReason> {
         if job.over {
             return None;
         }
         if now >= job.deadline {
-            return Some(GivenUp::TimeOver);
+            return Some(GiveUpReason::TimeOver);
         }
         if job.out() > 0 {
             return None;
         }
         let t = &self.types[job.kind.0];
-        if job.dispatches.len() >= self.further.try_limit {
-            return Some(GivenUp::TriesSpent);
+        if job.dispatches.len() >= self.further.max_dispatches {
+            return Some(GiveUpReason::TriesSpent);
         }
         if !self.repeat_safe(job, None, now) {
-            return Some(GivenUp::MayHaveRun);
+            return Some(GiveUpReason::MayHaveRun);
         }
-        if now + t_run(t, job.work) > job.sla_due && t.late_share < WORTH_LATE {
-            return Some(GivenUp::TooLateToEarn);
+        if now + t_run(t, job.work) > job.sla_due && t.late_value_share < WORTH_LATE {
+            return Some(GiveUpReason::TooLateToEarn);
         }
-        (now + self.fresh_run(job) > job.deadline).then_some(GivenUp::NoTimeLeft)
+        (now + self.fresh_run(job) > job.deadline).then_some(GiveUpReason::NoTimeLeft)
     }
 
     /// Rule 2 for throttling replies.
@@ -75,19 +75,19 @@
         !job.over
             && now < job.deadline
             && self.repeat_safe(job, Some(engine), now)
-            && (self.further.copies || job.out() == 0)
-            && engine.listed == Listed::Live
+            && (self.further.concurrent_dispatches || job.out() == 0)
+            && engine.listed == EngineStatus::Live
             && (!self.is_cold(engine, now) || self.warm_enough(engine, job.kind, now))
             && turn
             && t.zones.as_ref().is_none_or(|zones| zones.contains(&engine.zone))
             && t.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
-            && job.dispatches.len() < self.further.try_limit
+            && job.dispatches.len() < self.further.max_dispatches
             && (job.dispatches.is_empty() || self.ration_left())
     }
 
     /// Rule 7.
     pub(super) fn ration_left(&self) -> bool {
-        let left = |r: &Ration| r.free + r.share * self.taken.len() as f64 - self.resent.len() as f64;
-        self.further.ration.as_ref().is_none_or(|ration| left(ration) >= 1.0)
+        let left = |r: &RetryBudget| r.free_retries + r.retry_ratio * self.taken.len() as f64 - self.resent.len() as f64;
+        self.further.retry_budget.as_ref().is_none_or(|ration| left(ration) >= 1.0)
     }
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -24,12 +24,12 @@
 }
 
 impl Bounds {
-    pub(crate) fn new(types: &[ReservationType], watching: &Watching) -> Self {
+    pub(crate) fn new(types: &[ReservationType], watching: &Monitoring) -> Self {
         let sla = types.iter().map(|t| t.sla).max().unwrap_or_default();
-        let period = if watching.note_period > Span::ZERO { watching.note_period } else { sla };
+        let period = if watching.progress_period > Span::ZERO { watching.progress_period } else { sla };
         let loads = types.iter().filter(|t| t.is_load);
         Self {
-            patience: period.times(SILENT_PERIODS),
+            patience: period.mul_f64(SILENT_PERIODS),
             load_run: loads.map(|t| t.sla).max().unwrap_or_default(),
             lifetime: types.iter().map(|t| t.timeout).min().unwrap_or_default(),
             largest_work: types.iter().map(first_work).fold(0.0, f64::max),
@@ -107,11 +107,11 @@
 #[derive(Default)]
 pub(crate) struct Engine {
     /// A number that all routers have for it alike.
-    pub(crate) mark: u64,
+    pub(crate) stable_hash: u64,
     pub(crate) zone: ZoneId,
     pub(crate) kind: KindId,
     pub(crate) cell: CellId,
-    pub(crate) listed: Listed,
+    pub(crate) listed: EngineStatus,
     /// The stamp of its last start, where it told of one.
     pub(crate) start: Option<u64>,
     /// Since when it is cold; its windows of slow start are counted from here.
@@ -202,7 +202,7 @@
 
 /// The SLA time of a job, as its type states it.
 pub(crate) fn sla_of(t: &ReservationType, work: f64) -> Span {
-    t.sla + t_run(t, work).times(t.sla_stretch)
+    t.sla + t_run(t, work).mul_f64(t.sla_stretch)
 }
 
 /// Usual work by the settings alone, in seconds of one thread.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -24,26 +24,26 @@
 
 impl SlowStart {
     pub(crate) fn new(settings: ColdStart, fleet: &Fleet, bounds: &Bounds) -> Self {
-        let all = fleet.replicas.max(1) as u64;
-        let place = fleet.number as u64 % all * stride(all) % all;
+        let all = fleet.router_count.max(1) as u64;
+        let place = fleet.router_index as u64 % all * stride(all) % all;
         Self { settings, all, place, largest_work: bounds.largest_work }
     }
 
     /// How long too much work has to come for an engine to fall.
     pub(crate) fn window(&self) -> Span {
-        self.settings.fall
+        self.settings.overload_window
     }
 
     pub(crate) fn is_cold(&self, engine: &Engine, now: Moment) -> bool {
-        engine.cold_since.is_some_and(|since| now.since(since) < self.settings.cold_for)
+        engine.cold_since.is_some_and(|since| now.since(since) < self.settings.cold_period)
     }
 
     /// The part of its capacity that an engine has, less than all while it is cold: how its capacity rises is not told, only
     /// from what part and by when all of it is there, so an even rise between is guessed.
     pub(crate) fn risen(&self, engine: &Engine, now: Moment) -> f64 {
-        let ColdStart { cold_for, start_capacity, .. } = self.settings;
-        let age = engine.cold_since.map_or(cold_for, |since| now.since(since));
-        let part = (age.secs() / cold_for.secs().max(1e-3)).min(1.0);
+        let ColdStart { cold_period, start_capacity, .. } = self.settings;
+        let age = engine.cold_since.map_or(cold_period, |since| now.since(since));
+        let part = (age.secs() / cold_period.secs().max(1e-3)).min(1.0);
         start_capacity + (1.0 - start_capacity) * part
     }
 
@@ -57,14 +57,14 @@
     /// number are far apart in place, what meets by chance is covered by the slack that the rule gives. It may hurt by
     /// taking an engine for younger, and so sending less, where a start was heard of late.
     pub(crate) fn allows(&self, engine: &Engine, cores: f64, work: f64, now: Moment) -> bool {
-        let (fall, since) = (self.settings.fall, engine.cold_since.unwrap_or(now));
+        let (fall, since) = (self.settings.overload_window, engine.cold_since.unwrap_or(now));
         let window = |at: Moment| at.since(since).micros() / fall.micros().max(1);
         let current = window(now);
         let start = since + Span::from_micros(current * fall.micros());
         let capacity = cores * self.risen(engine, start);
-        let budget = MARGIN * self.settings.factor * capacity * fall.secs();
+        let budget = MARGIN * self.settings.overload_factor * capacity * fall.secs();
         let together = (budget / self.largest_work).floor().clamp(1.0, self.all as f64);
-        let first = (engine.mark % self.all + current * together as u64) % self.all;
+        let first = (engine.stable_hash % self.all + current * together as u64) % self.all;
         let has_turn = (first + self.all - self.place) % self.all < together as u64;
         let sent = engine.sent.iter().filter(|(at, _)| window(*at) == current).map(|(_, work)| work);
         has_turn && sent.sum::<f64>() + work <= budget / together
--- a/src/time.rs
+++ b/src/time.rs
@@ -22,7 +22,7 @@
     }
 
     /// The moment that lies so far back; the clock's own start if it lies before that.
-    pub const fn before(self, span: Span) -> Self {
+    pub const fn saturating_sub(self, span: Span) -> Self {
         Self(self.0.saturating_sub(span.0))
     }
 }
@@ -48,12 +48,12 @@
     }
 
     /// This span `factor` times over.
-    pub fn times(self, factor: f64) -> Self {
+    pub fn mul_f64(self, factor: f64) -> Self {
         Self::from_secs(self.secs() * factor)
     }
 
     /// What is left after `other` is taken off; zero if nothing.
-    pub const fn less(self, other: Span) -> Self {
+    pub const fn saturating_sub(self, other: Span) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 }
--- a/tests/stories/host.rs
+++ b/tests/scenarios/host.rs
@@ -17,9 +17,9 @@
     pub types: Vec<ReservationType>,
     pub fleet: Fleet,
     pub cold: ColdStart,
-    pub further: Further,
-    pub watching: Watching,
-    pub answers: Answers,
+    pub further: RetryLimits,
+    pub watching: Monitoring,
+    pub answers: AnswerPolicy,
 }
 
 pub struct Host {
@@ -44,8 +44,8 @@
         sla: ms(sla),
         sla_stretch: 2.0,
         timeout: ms(sla * 5),
-        billed: if is_load { 10.0 } else { 1.0 },
-        late_share: 0.2,
+        billed_value: if is_load { 10.0 } else { 1.0 },
+        late_value_share: 0.2,
         effect,
         ordered: false,
         zones: None,
@@ -66,39 +66,39 @@
             ],
             fleet: Fleet {
                 zone: ZoneId(0),
-                replicas: 1,
-                number: 0,
-                cores: vec![8.0, 8.0],
-                memory: vec![16_384.0; 2],
-                crossing_price: 0.04,
+                router_count: 1,
+                router_index: 0,
+                cores_by_kind: vec![8.0, 8.0],
+                memory_mb_by_kind: vec![16_384.0; 2],
+                cross_zone_cost: 0.04,
             },
-            cold: ColdStart { factor: 2.0, fall: ms(2_000), start_capacity: 0.25, cold_for: ms(15_000) },
-            further: Further {
-                try_limit: 4,
-                copies: false,
-                cancelling: true,
-                turn_gap: Span::ZERO,
-                ration: None,
+            cold: ColdStart { overload_factor: 2.0, overload_window: ms(2_000), start_capacity: 0.25, cold_period: ms(15_000) },
+            further: RetryLimits {
+                max_dispatches: 4,
+                concurrent_dispatches: false,
+                can_cancel: true,
+                key_rest: Span::ZERO,
+                retry_budget: None,
             },
-            watching: Watching {
+            watching: Monitoring {
                 may_probe: true,
-                reports_by_probe: false,
+                reports_with_probes_only: false,
                 connect_timeout: ms(250),
-                note_period: ms(1_000),
-                ask_within: None,
+                progress_period: ms(1_000),
+                max_list_age: None,
             },
-            answers: Answers {
+            answers: AnswerPolicy {
                 slack: ms(20),
-                come_back: Some(ms(2_000)),
-                by_work: false,
-                over_share: 0.1,
-                allowances: vec![1.0, 100.0],
+                max_retry_after: Some(ms(2_000)),
+                value_by_work: false,
+                over_share_factor: 0.1,
+                tenant_rates: vec![1.0, 100.0],
             },
         };
         change(&mut start);
         let now = Moment::from_micros(1_000_000_000);
         let Start { types, fleet, cold, further, watching, answers } = start;
-        let terms = Terms { grants: true, most_grant: 0.5 };
+        let terms = MemoryGrants { enabled: true, max_grant_share: 0.5 };
         let router = Router::new(now, 7, types, fleet, cold, further, watching, answers, terms);
         let mut host = Host {
             now,
@@ -114,13 +114,13 @@
             subscribed: 0,
             forgotten: vec![],
         };
-        host.list(0, Listed::Live, None);
-        host.list(1, Listed::Live, None);
+        host.list(0, EngineStatus::Live, None);
+        host.list(1, EngineStatus::Live, None);
         host
     }
 
     /// Lists an engine; it stands in the zone, is of the kind and belongs to the cell of its own number.
-    pub fn list(&mut self, engine: usize, listed: Listed, came_up: Option<Moment>) {
+    pub fn list(&mut self, engine: usize, listed: EngineStatus, came_up: Option<Moment>) {
         let (zone, kind, cell) = (ZoneId(engine % 2), KindId(engine % 2), CellId(engine));
         let mark = engine as u64;
         let stamp = |at: Moment| at.since(Moment::default()).micros();
@@ -184,6 +184,6 @@
     }
 
     pub fn report(&mut self, engine: EngineId, active: f64) {
-        self.router.reported(self.now, engine, Some(active), None, None, None);
+        self.router.load_reported(self.now, engine, Some(active), None, None, None);
     }
 }
--- a/tests/stories/main.rs
+++ b/tests/scenarios/main.rs
@@ -12,12 +12,12 @@
 #[test]
 fn a_job_gets_one_final_answer_at_once_and_nothing_after() {
     let mut host = Host::new(|_| ());
-    host.list(0, Listed::Draining, None);
-    host.list(1, Listed::Draining, None);
+    host.list(0, EngineStatus::Draining, None);
+    host.list(1, EngineStatus::Draining, None);
     let job = host.job(LOOKUP, 1);
     host.pass(3_000);
     assert_eq!(host.throttled, [job]);
-    host.list(0, Listed::Live, None);
+    host.list(0, EngineStatus::Live, None);
     host.pass(1_000);
     assert!(host.sent.is_empty() && host.cancelled.is_empty());
     assert_eq!(host.forgotten, [Forgotten::Job(job)]);
@@ -67,10 +67,10 @@
         let job = host.job(LOOKUP, 1);
         host.pull();
         let first = host.sent[0].1;
-        host.list(first.0, Listed::Draining, None);
+        host.list(first.0, EngineStatus::Draining, None);
         host.end(job, 0, Outcome::TimedOut, 50);
         assert_eq!(host.sent.len(), 1, "only the group's engine may get it, and that one drains");
-        host.list(first.0, Listed::Live, None);
+        host.list(first.0, EngineStatus::Live, None);
         host.pull();
         assert_eq!(host.engines_of(job), [first, first]);
         host.end(job, 1, Outcome::NotConnected, 50);
@@ -82,8 +82,8 @@
     let job = host.job(LOOKUP, 1);
     host.pull();
     host.end(job, 0, Outcome::TimedOut, 50);
-    host.list(0, Listed::Draining, None);
-    host.list(1, Listed::Draining, None);
+    host.list(0, EngineStatus::Draining, None);
+    host.list(1, EngineStatus::Draining, None);
     host.end(job, 1, Outcome::NotConnected, 50);
     host.pass(600);
     assert_eq!((host.throttled.as_slice(), host.cancelled.len()), ([job].as_slice(), 0));
@@ -91,7 +91,7 @@
 
 #[test]
 fn nothing_goes_to_an_engine_that_drains_or_is_gone() {
-    for listed in [Listed::Draining, Listed::Gone] {
+    for listed in [EngineStatus::Draining, EngineStatus::Gone] {
         let mut host = Host::new(|_| ());
         host.list(0, listed, None);
         for _ in 0..4 {
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() {
-    let mut host = Host::new(|start| start.watching.ask_within = Some(ms(1_000)));
+    let mut host = Host::new(|start| start.watching.max_list_age = Some(ms(1_000)));
     host.pull();
     assert_eq!(host.subscribed, 1);
     host.router.list_changed();
@@ -119,11 +119,11 @@
 
 #[test]
 fn a_cold_engine_gets_no_more_than_this_routers_part_in_any_window() {
-    let mut host = Host::new(|start| start.fleet.replicas = 2);
-    host.list(0, Listed::Gone, None);
+    let mut host = Host::new(|start| start.fleet.router_count = 2);
+    host.list(0, EngineStatus::Gone, None);
     host.pull();
     host.now = host.now + ms(10_000);
-    host.list(1, Listed::Live, Some(host.now));
+    host.list(1, EngineStatus::Live, Some(host.now));
     let (started, mut sent) = (host.now, vec![]);
     for _ in 0..100 {
         host.job(LOOKUP, 1);
@@ -148,7 +148,7 @@
 fn a_key_in_doubt_stays_until_it_is_settled_and_then_rests() {
     let mut host = Host::new(|start| {
         (start.types[0].ordered, start.types[0].effect) = (true, Effect::RunOnce);
-        start.further.turn_gap = ms(400);
+        start.further.key_rest = ms(400);
     });
     let first = host.job_of(LOOKUP, 1, None, Some(3), 50);
     let second = host.job_of(LOOKUP, 1, None, Some(3), 50);
@@ -174,11 +174,11 @@
 fn twenty_and_thirty_routers_told_of_one_start_keep_to_the_ramp_together() {
     for all in [20, 30] {
         let member = |number| {
-            let mut host = Host::new(|start| (start.fleet.replicas, start.fleet.number) = (all, number));
-            host.list(0, Listed::Gone, None);
+            let mut host = Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (all, number));
+            host.list(0, EngineStatus::Gone, None);
             // Some time after the routers' own start, and not at the edge of a window.
             host.now = host.now + ms(10_700);
-            host.list(1, Listed::Live, Some(host.now));
+            host.list(1, EngineStatus::Live, Some(host.now));
             host
         };
         let mut hosts: Vec<Host> = (0..all).map(member).collect();
@@ -215,10 +215,10 @@
     const ALL: usize = 4;
     let mut sent = vec![];
     for number in 0..ALL {
-        let mut host = Host::new(|start| (start.fleet.replicas, start.fleet.number) = (ALL, number));
-        host.list(0, Listed::Gone, None);
+        let mut host = Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (ALL, number));
+        host.list(0, EngineStatus::Gone, None);
         host.now = host.now + ms(10_700 + 2_000 * number as u64);
-        host.list(1, Listed::Live, Some(host.now));
+        host.list(1, EngineStatus::Live, Some(host.now));
         let heard = host.now;
         for _ in 0..300 {
             host.job(LOOKUP, 1);
@@ -232,7 +232,7 @@
     }
     assert!(sent.len() > 100, "the engine is used: {}", sent.len());
     for from in &sent {
-        let within = sent.iter().filter(|at| *at >= from && at.less(*from) < ms(2_000)).count() as f64;
+        let within = sent.iter().filter(|at| *at >= from && at.saturating_sub(*from) < ms(2_000)).count() as f64;
         // Factor 2, 8 cores of which a quarter at the start and all after 15 s, 2 s, jobs of 0.1 s.
         let most = 2.0 * 8.0 * (0.25 + 0.75 * from.secs() / 15.0) * 2.0 / 0.1;
         assert!(within <= most + 2.0 * most.sqrt() + 2.0, "{within} in a window, {most} are allowed");
@@ -242,8 +242,8 @@
 #[test]
 fn a_restarted_router_waits_a_window_before_it_sends_to_a_cold_engine() {
     let mut host = Host::new(|_| ());
-    host.list(0, Listed::Gone, None);
-    host.list(1, Listed::Live, Some(host.now));
+    host.list(0, EngineStatus::Gone, None);
+    host.list(1, EngineStatus::Live, Some(host.now));
     host.job(LOOKUP, 1);
     host.pass(900);
     assert!(host.sent.is_empty());
@@ -257,8 +257,8 @@
 fn jobs_of_one_key_go_one_at_a_time_in_order_and_rest_after_a_doubt() {
     let mut host = Host::new(|start| {
         start.types[0].ordered = true;
-        start.further.turn_gap = ms(400);
-        start.further.try_limit = 1;
+        start.further.key_rest = ms(400);
+        start.further.max_dispatches = 1;
     });
     let big = host.job_of(LOOKUP, 1, None, Some(3), 200);
     let small = host.job_of(LOOKUP, 1, None, Some(3), 10);
@@ -282,7 +282,7 @@
         let first = host.job(LOOKUP, 1);
         host.pull();
         assert_eq!(host.engines_of(first), [E0]);
-        host.list(0, Listed::Draining, None);
+        host.list(0, EngineStatus::Draining, None);
         host.end(first, 0, Outcome::NotConnected, 50);
         host.pass(3_000);
         assert_eq!((host.sent.len(), host.throttled.as_slice()), (1, [first].as_slice()));
@@ -291,8 +291,8 @@
 
 #[test]
 fn further_dispatches_stay_within_the_ration() {
-    let ration = Some(Ration { free: 1.0, share: 0.1, window: ms(1_000) });
-    let mut host = Host::new(|start| start.further.ration = ration);
+    let retry_budget = Some(RetryBudget { free_retries: 1.0, retry_ratio: 0.1, window: ms(1_000) });
+    let mut host = Host::new(|start| start.further.retry_budget = retry_budget);
     let jobs: Vec<JobId> = (0..3).map(|_| host.job(LOOKUP, 1)).collect();
     host.pull();
     for job in &jobs {
@@ -303,19 +303,19 @@
 
 #[test]
 fn tries_and_copies_stay_within_the_settings() {
-    let mut host = Host::new(|start| start.further.try_limit = 2);
+    let mut host = Host::new(|start| start.further.max_dispatches = 2);
     let job = host.job(LOOKUP, 1);
     host.pull();
     host.end(job, 0, Outcome::Error, 10);
     host.end(job, 1, Outcome::Error, 10);
     assert_eq!((host.sent.len(), host.throttled.as_slice()), (2, [job].as_slice()));
-    for (copies, try_limit) in [(false, 4), (true, 1)] {
+    for (concurrent_dispatches, max_dispatches) in [(false, 4), (true, 1)] {
         let mut host = Host::new(|start| {
-            start.further = Further { copies, try_limit, cancelling: false, ..start.further.clone() };
+            start.further = RetryLimits { concurrent_dispatches, max_dispatches, can_cancel: false, ..start.further.clone() };
         });
         host.job(LOOKUP, 1);
         host.pass(900);
-        assert_eq!(host.sent.len(), 1, "copies {copies}, tries {try_limit}");
+        assert_eq!(host.sent.len(), 1, "copies {concurrent_dispatches}, tries {max_dispatches}");
     }
 }
 
@@ -334,7 +334,7 @@
 
 #[test]
 fn a_silent_engine_is_set_aside_and_comes_back_cold_after_answered_probes() {
-    let mut host = Host::new(|start| start.further.cancelling = false);
+    let mut host = Host::new(|start| start.further.can_cancel = false);
     host.job_of(LOAD, 1, None, None, 100);
     host.pull();
     let silent = host.sent[0].1;
@@ -344,7 +344,7 @@
     host.pull();
     assert_eq!(host.engines_of(job), [other(silent)]);
     host.end(job, 0, Outcome::Done, 50);
-    host.list(other(silent).0, Listed::Draining, None);
+    host.list(other(silent).0, EngineStatus::Draining, None);
     host.router.probe_ended(host.now, silent, Outcome::Done);
     host.pass(600);
     assert_eq!(*host.probed.last().unwrap(), silent);
@@ -373,9 +373,9 @@
 
 #[test]
 fn loads_of_a_group_leave_half_of_the_engines_to_all_else_of_it() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
-    host.list(2, Listed::Live, None);
-    host.list(3, Listed::Live, None);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
+    host.list(2, EngineStatus::Live, None);
+    host.list(3, EngineStatus::Live, None);
     let loads = [(); 6].map(|()| host.job(LOAD, 1));
     host.pull();
     let mut homes: Vec<EngineId> = host.sent.iter().map(|(_, engine, _)| *engine).collect();
@@ -394,7 +394,7 @@
 
 #[test]
 fn an_engine_that_fails_a_type_fast_does_not_draw_it_and_is_tried_again_later() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
     let mut failed = 0;
     for group in 0..40 {
         // By its reports, the engine is idle; loads go on there.
@@ -429,7 +429,7 @@
         host.pull();
         job
     });
-    host.router.stopping(host.now + ms(500));
+    host.router.stop_by(host.now + ms(500));
     host.pull();
     assert!(host.throttled.is_empty() && host.cancelled.is_empty());
     host.pass(540);
@@ -438,13 +438,13 @@
 
 #[test]
 fn an_engine_that_came_up_again_has_no_warm_groups() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
     let first = host.job(LOOKUP, 1);
     host.pull();
     let warm = host.sent[0].1;
     host.end(first, 0, Outcome::Done, 100);
     host.now = host.now + ms(3_000);
-    host.list(warm.0, Listed::Live, Some(host.now));
+    host.list(warm.0, EngineStatus::Live, Some(host.now));
     host.report(warm, 1.0);
     host.report(other(warm), 0.9);
     let next = host.job(LOOKUP, 1);
@@ -454,7 +454,7 @@
 
 #[test]
 fn choices_follow_reports_and_own_dispatches_since() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
     host.report(E0, 10.0);
     host.report(E1, 8.5);
     let jobs: Vec<JobId> = (0..4).map(|group| host.job(LOOKUP, group)).collect();
@@ -471,14 +471,14 @@
 
 #[test]
 fn unheard_engines_count_as_average() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
-    host.list(2, Listed::Live, None);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
+    host.list(2, EngineStatus::Live, None);
     host.report(E0, 12.0);
     host.report(E1, 2.0);
     let (first, second) = (host.job(LOOKUP, 1), host.job(LOOKUP, 2));
     host.pull();
     assert_eq!((host.engines_of(first), host.engines_of(second)), (vec![E1], vec![E1]));
-    host.list(1, Listed::Draining, None);
+    host.list(1, EngineStatus::Draining, None);
     let third = host.job(LOOKUP, 3);
     host.pull();
     assert_eq!(host.engines_of(third), [EngineId(2)]);
@@ -488,8 +488,8 @@
 fn a_warm_engine_is_costed_optimistically_until_it_is_full_of_own_threads() {
     let mut host = Host::new(|start| {
         start.types.truncate(1);
-        start.fleet.crossing_price = 0.0;
-        start.fleet.replicas = 4;
+        start.fleet.cross_zone_cost = 0.0;
+        start.fleet.router_count = 4;
     });
     let first = host.job(LOOKUP, 1);
     host.pull();
@@ -507,12 +507,12 @@
             host.end(job, 0, Outcome::Done, 100);
         }
     }
-    host.list(other(warm).0, Listed::Draining, None);
+    host.list(other(warm).0, EngineStatus::Draining, None);
     for _ in 0..2 {
         host.job(LOOKUP, 1);
     }
     host.pull();
-    host.list(other(warm).0, Listed::Live, None);
+    host.list(other(warm).0, EngineStatus::Live, None);
     host.report(warm, 5.0);
     host.report(other(warm), 4.0);
     let last = host.job(LOOKUP, 1);
@@ -529,7 +529,7 @@
     for (job, ..) in std::mem::take(&mut host.sent) {
         host.router.dispatch_ended(host.now, job, 0, Outcome::TurnedAway, ms(900), None, true);
     }
-    jobs.iter().for_each(|job| host.router.job_over(*job));
+    jobs.iter().for_each(|job| host.router.job_closed(*job));
     (0..40).for_each(|group| _ = host.job(LOOKUP, group));
     host.pull();
     assert_eq!(host.sent.len(), 16, "no less than a thread a core");
@@ -544,7 +544,7 @@
     for (job, ..) in host.sent.clone().iter().filter(|(_, engine, _)| *engine == dead) {
         host.router.dispatch_ended(host.now, *job, 0, Outcome::Reset, ms(50), None, true);
     }
-    jobs.iter().for_each(|job| host.router.job_over(*job));
+    jobs.iter().for_each(|job| host.router.job_closed(*job));
     for (job, ..) in host.sent.clone().iter().filter(|(_, engine, _)| *engine != dead) {
         host.end(*job, 0, Outcome::Done, 50);
     }
@@ -556,8 +556,8 @@
 
 #[test]
 fn one_of_many_routers_fills_no_more_than_its_part_of_a_large_fleet() {
-    let mut host = Host::new(|start| start.fleet.replicas = 100);
-    (2..50).for_each(|engine| host.list(engine, Listed::Live, None));
+    let mut host = Host::new(|start| start.fleet.router_count = 100);
+    (2..50).for_each(|engine| host.list(engine, EngineStatus::Live, None));
     for group in 0..40 {
         host.job(LOOKUP, group);
     }
@@ -571,10 +571,10 @@
 
 #[test]
 fn equal_engines_get_equal_work_wherever_they_stand_in_the_list() {
-    let mut host = Host::new(|start| start.fleet.replicas = 100);
+    let mut host = Host::new(|start| start.fleet.router_count = 100);
     // Engines of the own zone are even: the first follows a long run of others.
-    (2..20).for_each(|engine| host.list(2 * engine + usize::from(engine < 10), Listed::Live, None));
-    host.list(1, Listed::Gone, None);
+    (2..20).for_each(|engine| host.list(2 * engine + usize::from(engine < 10), EngineStatus::Live, None));
+    host.list(1, EngineStatus::Gone, None);
     for group in 0..600 {
         let job = host.job(LOOKUP, group);
         host.pull();
@@ -590,7 +590,7 @@
     let mut host = Host::new(|_| ());
     let job = host.job(LOOKUP, 1);
     host.pull();
-    host.router.progressed(host.now, job, 0, Progress::Spills(125.0));
+    host.router.progress_reported(host.now, job, 0, Progress::Spills(125.0));
     assert_eq!(host.grants, [125.0], "a quarter over the 100 MB told");
     host.job(LOOKUP, 1);
     host.pull();
@@ -600,7 +600,7 @@
 #[test]
 fn while_most_engines_are_cold_the_warm_ones_are_not_overfilled() {
     let mut host = Host::new(|_| ());
-    (2..20).for_each(|engine| host.list(engine, Listed::Live, Some(host.now)));
+    (2..20).for_each(|engine| host.list(engine, EngineStatus::Live, Some(host.now)));
     (0..60).for_each(|group| _ = host.job(LOOKUP, group));
     host.pull();
     assert_eq!(host.sent.len(), 12, "six threads at each of the two");
@@ -610,10 +610,10 @@
 fn many_routers_take_turns_at_a_cold_engine_and_use_it() {
     let mut sent = vec![];
     for number in 0..60 {
-        let mut host = Host::new(|start| (start.fleet.replicas, start.fleet.number) = (60, number));
-        host.list(0, Listed::Gone, None);
+        let mut host = Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (60, number));
+        host.list(0, EngineStatus::Gone, None);
         host.pass(10_000);
-        host.list(1, Listed::Live, Some(host.now));
+        host.list(1, EngineStatus::Live, Some(host.now));
         for _ in 0..100 {
             host.job(LOOKUP, 1);
             host.pass(120);
@@ -643,16 +643,16 @@
 fn burst_at_an_engine_of_age(replicas: usize, jobs: usize, mark: u64, age: u64) -> Vec<usize> {
     let each = (0..replicas).map(|number| {
         let mut host = Host::new(|start| {
-            (start.fleet.replicas, start.fleet.number) = (replicas, number);
+            (start.fleet.router_count, start.fleet.router_index) = (replicas, number);
             start.types.iter_mut().for_each(|t| t.sla = ms(300));
             start.types.truncate(1);
         });
-        host.list(1, Listed::Gone, None);
+        host.list(1, EngineStatus::Gone, None);
         host.pass(10_000 - age);
         let (at, zone) = (host.now, ZoneId(0));
         host.pass(age);
         let start = Some(EngineStart { stamp: 1, age: Span::ZERO });
-        host.router.engine_listed(at, E1, zone, KindId(1), CellId(1), Listed::Live, start, mark);
+        host.router.engine_listed(at, E1, zone, KindId(1), CellId(1), EngineStatus::Live, start, mark);
         host.report(E0, 60.0);
         for group in 0..jobs {
             host.job(LOOKUP, group);
@@ -698,11 +698,11 @@
     // A window holds half of 8 s: 26 jobs of 0.15 s by the settings, 40 of the 0.1 s that they are told to be.
     assert!((26..=40).contains(&sent[0]), "{sent:?}");
     let mut host = Host::new(|start| start.types.iter_mut().for_each(|t| t.sla = ms(300)));
-    host.list(0, Listed::Gone, None);
-    host.list(1, Listed::Gone, None);
+    host.list(0, EngineStatus::Gone, None);
+    host.list(1, EngineStatus::Gone, None);
     host.pass(10_000);
-    host.list(2, Listed::Live, None);
-    host.list(3, Listed::Live, Some(host.now));
+    host.list(2, EngineStatus::Live, None);
+    host.list(3, EngineStatus::Live, Some(host.now));
     (0..200).for_each(|group| _ = host.job(LOOKUP, group));
     host.pull();
     let (warm, cold): (Vec<_>, Vec<_>) =
@@ -710,7 +710,7 @@
     assert!(!warm.is_empty() && !cold.is_empty());
     for (job, ..) in &cold[..cold.len() / 2] {
         // A note tells of a tenth done after a second, which foretells a miss.
-        host.router.progressed(host.now + ms(1_000), *job, 0, Progress::Share(0.1));
+        host.router.progress_reported(host.now + ms(1_000), *job, 0, Progress::Fraction(0.1));
     }
     for (jobs, took) in [(&cold, 5_000), (&warm, 20)] {
         for (job, ..) in jobs {
@@ -738,10 +738,10 @@
     assert_eq!(burst_at_a_cold_engine(1, 1, 0), [1], "the other engine has 60 held queries");
     let filled = |cold: bool| {
         let mut host = Host::new(|start| start.types.truncate(1));
-        host.list(1, Listed::Gone, None);
+        host.list(1, EngineStatus::Gone, None);
         host.pass(10_000);
         if cold {
-            host.list(1, Listed::Live, Some(host.now));
+            host.list(1, EngineStatus::Live, Some(host.now));
             host.report(E0, 60.0);
             (0..10).for_each(|group| _ = host.job(LOOKUP, group));
             host.pull();
@@ -758,12 +758,12 @@
 #[test]
 fn routers_that_number_the_engines_differently_send_the_loads_of_a_group_to_the_same() {
     let homes = |turned: usize| {
-        let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
-        (0..2).for_each(|engine| host.list(engine, Listed::Gone, None));
+        let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
+        (0..2).for_each(|engine| host.list(engine, EngineStatus::Gone, None));
         for mark in 0..8 {
             let id = EngineId(2 + (mark + turned) % 8);
             let (zone, kind) = (ZoneId(0), KindId(0));
-            host.router.engine_listed(host.now, id, zone, kind, CellId(0), Listed::Live, None, mark as u64);
+            host.router.engine_listed(host.now, id, zone, kind, CellId(0), EngineStatus::Live, None, mark as u64);
         }
         (0..8).for_each(|_| _ = host.job(LOAD, 3));
         host.pull();
@@ -778,10 +778,10 @@
 #[test]
 fn what_waits_for_loads_keeps_off_the_engines_of_other_routers_loads_of_its_group() {
     let mut host = Host::new(|start| {
-        start.fleet.crossing_price = 0.0;
-        start.fleet.replicas = 50;
+        start.fleet.cross_zone_cost = 0.0;
+        start.fleet.router_count = 50;
     });
-    (2..8).for_each(|engine| host.list(engine, Listed::Live, None));
+    (2..8).for_each(|engine| host.list(engine, EngineStatus::Live, None));
     let mut of_group = |kind| {
         let mut at: Vec<EngineId> = vec![];
         for _ in 0..40 {
@@ -809,10 +809,10 @@
     host.now = host.now + ms(400);
     let first = host.sent.clone();
     for (job, ..) in &first {
-        host.router.progressed(host.now, *job, 0, Progress::Share(0.05));
+        host.router.progress_reported(host.now, *job, 0, Progress::Fraction(0.05));
     }
     for (job, ..) in first {
-        host.router.job_over(job);
+        host.router.job_closed(job);
         host.end(job, 0, Outcome::Cancelled, 400);
     }
     host.sent.clear();
@@ -839,8 +839,8 @@
 fn where_nothing_can_be_cancelled_a_copy_goes_out_unless_jobs_wait_unsent() {
     for crowd in [0, 60] {
         let mut host = Host::new(|start| {
-            start.further.cancelling = false;
-            start.further.copies = true;
+            start.further.can_cancel = false;
+            start.further.concurrent_dispatches = true;
         });
         let job = host.job(LOOKUP, 1);
         host.pull();
@@ -855,12 +855,12 @@
 
 #[test]
 fn groups_held_by_loads_are_shunned() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
     let load = host.job_of(LOAD, 5, None, None, 4_000);
     let stuck = host.job(LOOKUP, 6);
     host.pull();
     let (own, foreign) = (host.engines_of(load)[0], host.engines_of(stuck)[0]);
-    host.router.progressed(host.now, stuck, 0, Progress::WaitsForLoad);
+    host.router.progress_reported(host.now, stuck, 0, Progress::WaitsForLoad);
     let (beside_own, beside_foreign) = (host.job(LOOKUP, 5), host.job(LOOKUP, 6));
     host.pull();
     assert_eq!(host.engines_of(beside_own), [other(own)]);
@@ -880,11 +880,11 @@
 #[test]
 fn jobs_beyond_their_tenants_share_go_last() {
     let mut host = Host::new(|_| ());
-    host.list(0, Listed::Draining, None);
-    host.list(1, Listed::Draining, None);
+    host.list(0, EngineStatus::Draining, None);
+    host.list(1, EngineStatus::Draining, None);
     let over: Vec<JobId> = (0..3).map(|_| host.job_of(LOOKUP, 1, Some(0), None, 100)).collect();
     let within = host.job_of(LOOKUP, 1, Some(1), None, 100);
-    host.list(0, Listed::Live, None);
+    host.list(0, EngineStatus::Live, None);
     host.pull();
     let order: Vec<JobId> = host.sent.iter().map(|(job, ..)| *job).collect();
     assert_eq!(order, [over[0], within, over[1], over[2]]);
@@ -905,9 +905,9 @@
 
 #[test]
 fn hearsay_brings_a_probe_forward_and_steers_until_the_engine_speaks() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
     host.now = host.now + ms(10);
-    host.router.hearsay(host.now, E0, None, 0.875);
+    host.router.peer_reported(host.now, E0, None, 0.875);
     host.pull();
     assert_eq!(host.probed, [E0]);
     for _ in 0..3 {
@@ -932,13 +932,13 @@
     let mut host = Host::new(|start| start.watching.may_probe = false);
     host.now = host.now + ms(10);
     for engine in [E0, E1] {
-        host.router.hearsay(host.now, engine, None, 99.0);
+        host.router.peer_reported(host.now, engine, None, 99.0);
     }
     let job = host.job(LOOKUP, 1);
     host.pull();
     assert_eq!(host.engines_of(job).len(), 1);
     host.end(job, 0, Outcome::Done, 10);
-    host.router.hearsay(host.now, E0, None, 1.0);
+    host.router.peer_reported(host.now, E0, None, 1.0);
     host.pass(2_600);
     let mut host_again = Host::new(|_| ());
     let (one, other) = (host.job(LOOKUP, 3), host_again.job(LOOKUP, 3));
@@ -953,12 +953,12 @@
 
 #[test]
 fn an_engine_that_sends_slowly_is_dearer_and_still_open() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
-    host.router.sends_slowly(E0, ms(500));
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
+    host.router.transfer_delay_measured(E0, ms(500));
     let jobs: Vec<JobId> = (0..3).map(|group| host.job(LOOKUP, group)).collect();
     host.pull();
     assert!(jobs.iter().all(|job| host.engines_of(*job) == [E1]));
-    host.list(1, Listed::Draining, None);
+    host.list(1, EngineStatus::Draining, None);
     let job = host.job(LOOKUP, 5);
     host.pull();
     assert_eq!(host.engines_of(job), [E0]);
@@ -968,18 +968,18 @@
 fn hearsay_fades() {
     for (after, first) in [(0, E1), (2_400, E0)] {
         let mut host = Host::new(|start| {
-            start.fleet.crossing_price = 0.0;
+            start.fleet.cross_zone_cost = 0.0;
             start.watching.may_probe = false;
         });
         // Work at one engine, and a doubt on the other that weighs more while it is fresh.
-        host.list(0, Listed::Gone, None);
+        host.list(0, EngineStatus::Gone, None);
         for _ in 0..4 {
             host.job(LOOKUP, 1);
         }
         host.pull();
-        host.list(0, Listed::Live, None);
+        host.list(0, EngineStatus::Live, None);
         host.now = host.now + ms(10);
-        host.router.hearsay(host.now, E0, None, 0.5);
+        host.router.peer_reported(host.now, E0, None, 0.5);
         host.now = host.now + ms(after);
         let job = host.job(LOOKUP, 2);
         host.pull();
@@ -989,17 +989,17 @@
 
 #[test]
 fn hearsay_of_one_type_leaves_the_others_alone_and_opens_no_closed_engine() {
-    let mut host = Host::new(|start| start.fleet.crossing_price = 0.0);
+    let mut host = Host::new(|start| start.fleet.cross_zone_cost = 0.0);
     host.now = host.now + ms(10);
-    host.router.hearsay(host.now, E0, Some(LOAD), 0.8);
+    host.router.peer_reported(host.now, E0, Some(LOAD), 0.8);
     host.pull();
     assert!(host.probed.is_empty(), "a probe says nothing of a type");
     let jobs: Vec<JobId> = (0..4).map(|group| host.job(LOOKUP, group)).collect();
     host.pull();
     assert!(jobs.iter().any(|job| host.engines_of(*job) == [E0]));
-    host.list(0, Listed::Draining, None);
-    host.router.hearsay(host.now, E0, None, 0.0);
-    host.router.hearsay(host.now, E1, None, 0.875);
+    host.list(0, EngineStatus::Draining, None);
+    host.router.peer_reported(host.now, E0, None, 0.0);
+    host.router.peer_reported(host.now, E1, None, 0.875);
     let job = host.job(LOOKUP, 9);
     host.pull();
     assert_eq!(host.engines_of(job), [E1]);
@@ -1008,8 +1008,8 @@
 #[test]
 fn equal_seeds_and_events_give_equal_decisions() {
     let day = || {
-        let mut host = Host::new(|start| start.further.copies = true);
-        (2..40).for_each(|engine| host.list(engine, Listed::Live, None));
+        let mut host = Host::new(|start| start.further.concurrent_dispatches = true);
+        (2..40).for_each(|engine| host.list(engine, EngineStatus::Live, None));
         for step in 0..300 {
             let kind = if step % 7 == 0 { LOAD } else { LOOKUP };
             host.job(kind, step % 11);
@@ -1017,9 +1017,9 @@
             let (job, engine, _) = host.sent[host.sent.len() / 2];
             match step % 5 {
                 0 => host.end(job, 0, Outcome::Reset, 40),
-                1 => host.router.hearsay(host.now, engine, None, 0.5),
-                2 => host.list(step % 40, Listed::Gone, None),
-                3 => host.list(step % 40, Listed::Live, Some(host.now)),
+                1 => host.router.peer_reported(host.now, engine, None, 0.5),
+                2 => host.list(step % 40, EngineStatus::Gone, None),
+                3 => host.list(step % 40, EngineStatus::Live, Some(host.now)),
                 _ => host.end(job, 0, Outcome::Done, 30),
             }
         }
