--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -50,7 +50,7 @@
         Self { node, follower, pace, told: 0, vouched: None, acts_on: None }
     }
 
-    pub fn ordered(&mut self, now: Moment, epoch: u64, voters: &[MemberId]) {
+    pub fn apply_voter_set(&mut self, now: Moment, epoch: u64, voters: &[MemberId]) {
         let names: Vec<NodeId> = voters.iter().map(|voter| NodeId(voter.0)).collect();
         log::info!(event = "accord_ordered", epoch, voters = names.len(); "epoch {epoch} is ordered, with {} voters", names.len());
         self.follower.apply_voter_set(epoch, &names);
@@ -61,12 +61,12 @@
         }
     }
 
-    pub fn heard(&mut self, now: Moment, from: MemberId, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Moment, from: MemberId, bytes: &[u8]) {
         self.node.receive(now, NodeId(from.0), bytes);
     }
 
     /// A voter's notice, whose signature was found good.
-    pub fn noticed(&mut self, now: Moment, from: MemberId, subject: u8, says: &[u8]) {
+    pub fn receive_notice(&mut self, now: Moment, from: MemberId, subject: u8, says: &[u8]) {
         let agreed = match subject {
             WARRANT => Attestation::decode(says).map(|warrant| (warrant, None)),
             STATE => Attestation::decode_with_state(says).map(|(warrant, agreed)| (warrant, Some(agreed))),
@@ -84,13 +84,13 @@
         self.follower.in_force(now)
     }
 
-    pub fn due(&self) -> Option<Moment> {
+    pub fn next_deadline(&self) -> Option<Moment> {
         let lapses = self.acts_on.and_then(|_| self.follower.lease_end());
         [self.node.next_deadline(), lapses].into_iter().flatten().min()
     }
 
     /// Carries out all that is to be done, through the members' talk.
-    pub fn pull(&mut self, now: Moment, gossip: &mut Gossip) {
+    pub fn run_actions(&mut self, now: Moment, gossip: &mut Gossip) {
         while let Some(to_do) = self.node.next_action(now) {
             match to_do {
                 Action::Send { to, bytes } => _ = gossip.send_direct(now, MemberId(to.0), bytes),
--- a/crates/router/src/arrivals.rs
+++ b/crates/router/src/arrivals.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use woadhook::{Moment, Span};
 
-use crate::clock::{Clock, pass};
+use crate::clock::{Clock, sleep};
 use crate::interrupted_calls::retried;
 use crate::tasks::Tasks;
 
@@ -21,7 +21,7 @@
 /// Moments at which this thread came round. Between two of them it was told of all its sockets at least once, so a reader that
 /// waits, and reads after the third, reads what came behind the first.
 #[derive(Clone)]
-pub struct Rounds(Rc<Noted>);
+pub struct LoopTicks(Rc<Noted>);
 
 struct Noted {
     last_three: [Cell<Moment>; 3],
@@ -31,19 +31,19 @@
     counted: Cell<Moment>,
 }
 
-impl Rounds {
+impl LoopTicks {
     pub fn start(clock: Clock, tasks: Tasks) -> Self {
         let last_three = [0; 3].map(|_| Cell::new(clock.now()));
         let (gap, counted) = (Cell::new(Span::ZERO), Cell::new(clock.now()));
-        let rounds = Self(Rc::new(Noted { last_three, gap, counted }));
-        let noted = rounds.clone();
-        tasks.start(async move {
+        let loop_ticks = Self(Rc::new(Noted { last_three, gap, counted }));
+        let noted = loop_ticks.clone();
+        tasks.spawn(async move {
             loop {
                 noted.note(clock.now());
-                pass(TICK).await;
+                sleep(TICK).await;
             }
         });
-        rounds
+        loop_ticks
     }
 
     fn note(&self, now: Moment) {
@@ -53,7 +53,7 @@
     }
 
     /// Whether this thread did not come round for longer than such a span, at any time since this was asked last. Each stand is told once.
-    pub fn stood(&self, now: Moment, longer_than: Span) -> bool {
+    pub fn has_stalled(&self, now: Moment, longer_than: Span) -> bool {
         let Noted { last_three: [.., last], gap, counted } = &*self.0;
         let up_to_now = now.since(last.get().max(counted.get()));
         let stood = gap.replace(Span::ZERO).max(up_to_now) > longer_than;
@@ -70,9 +70,9 @@
 }
 
 /// The earliest at which what is taken from one socket may have come.
-pub struct Arrivals {
+pub struct ArrivalTimes {
     clock: Clock,
-    rounds: Rounds,
+    loop_ticks: LoopTicks,
     /// When nothing stood there last.
     empty: Cell<Moment>,
     /// The earliest for what was taken last.
@@ -81,15 +81,15 @@
     standing: Cell<Option<Moment>>,
 }
 
-impl Arrivals {
+impl ArrivalTimes {
     /// For a socket with which nothing had come yet at such a moment.
-    pub fn since(empty: Moment, clock: Clock, rounds: Rounds) -> Self {
+    pub fn new(empty: Moment, clock: Clock, loop_ticks: LoopTicks) -> Self {
         let standing = Cell::new(None);
-        Self { clock, rounds, empty: Cell::new(empty), came: Cell::new(empty), standing }
+        Self { clock, loop_ticks, empty: Cell::new(empty), came: Cell::new(empty), standing }
     }
 
     /// Takes from the socket: `take` is pending while nothing stands there. It is called again where a signal interrupts it.
-    pub async fn taking<T>(&self, mut take: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+    pub async fn receive<T>(&self, mut take: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
         retried(async || self.taking_once(take()).await).await
     }
 
@@ -107,7 +107,7 @@
         });
         let taken = taken.await;
         let came = match self.standing.get() {
-            _ if waited.get() => self.empty.get().max(self.rounds.first()),
+            _ if waited.get() => self.empty.get().max(self.loop_ticks.first()),
             Some(standing) => standing,
             None => self.empty.get(),
         };
@@ -117,14 +117,14 @@
     }
 
     /// The earliest at which what was taken last may have come.
-    pub fn came(&self) -> Moment {
+    pub fn earliest_arrival(&self) -> Moment {
         self.came.get()
     }
 
     /// From when on a request counts whose last bytes were taken last. Threat: a deadline that is passed on longer than the client
     /// waits. It also catches a process that stood, an accept queue and a client that was not read. It may hurt where
     /// the bytes came late in a span in which the thread was busy: the request gets less time than it has.
-    pub fn counts_from(&self) -> Moment {
+    pub fn request_start(&self) -> Moment {
         let (now, came) = (self.clock.now(), self.came.get());
         if now.since(came) <= TOLERANCE { now } else { came }
     }
--- a/crates/router/src/backends/sql/doubt.rs
+++ b/crates/router/src/backends/sql/doubt.rs
@@ -4,7 +4,7 @@
 
 use woadhook::Outcome;
 
-use crate::faults::CallFault;
+use crate::faults::CallError;
 
 /// What is known of one query.
 #[derive(Default)]
@@ -79,8 +79,8 @@
     }
 
     /// A call got no answer.
-    pub fn note_break(&self, fault: &CallFault) {
-        self.is_refused.set(self.is_refused.get() || matches!(fault, CallFault::Refused));
+    pub fn note_break(&self, fault: &CallError) {
+        self.is_refused.set(self.is_refused.get() || matches!(fault, CallError::Refused));
         if fault.is_break() {
             self.note_another_process();
         }
--- a/crates/router/src/backends/sql/engine.rs
+++ b/crates/router/src/backends/sql/engine.rs
@@ -10,13 +10,13 @@
 
 use crate::clock::Clock;
 use crate::exchange::Event;
-use crate::faults::CallFault;
-use crate::freshness::Freshness;
+use crate::faults::CallError;
+use crate::freshness::ListFreshness;
 use crate::guards::Guards;
-use crate::http::head;
-use crate::memory::Room;
-use crate::pool::{Lease, Pool};
-use crate::sockets::within;
+use crate::http::request_head;
+use crate::memory::MemoryBudget;
+use crate::pool::{PooledConnection, ConnectionPool};
+use crate::sockets::with_timeout;
 use crate::tasks::Tasks;
 
 /// No answer to a control call holds more.
@@ -25,20 +25,20 @@
 pub struct EngineContext {
     pub clock: Clock,
     pub tasks: Tasks,
-    pub queries: Rc<Pool>,
-    pub control_calls: Rc<Pool>,
-    pub probes: Rc<Pool>,
+    pub queries: Rc<ConnectionPool>,
+    pub control_calls: Rc<ConnectionPool>,
+    pub probes: Rc<ConnectionPool>,
     pub connect_timeout: Span,
     /// Whether probes ask for a load report.
     pub reports: bool,
     /// For results.
-    pub room: Room,
+    pub room: MemoryBudget,
     /// How slowly pages may come: bytes a second at most asked for, and the grace.
     pub least: Rc<Cell<Least>>,
     /// Ends of probes go ahead of what else the module is told.
     pub urgent: Sender<Event>,
     pub guards: Guards,
-    pub freshness: Freshness,
+    pub freshness: ListFreshness,
 }
 
 /// What the queries at one engine share.
@@ -54,23 +54,23 @@
 }
 
 impl Engine {
-    pub async fn lease(&self, pool: &Rc<Pool>) -> Result<Lease, CallFault> {
-        pool.lease(self.serial, self.address, self.context.connect_timeout).await
+    pub async fn lease(&self, pool: &Rc<ConnectionPool>) -> Result<PooledConnection, CallError> {
+        pool.acquire(self.serial, self.address, self.context.connect_timeout).await
     }
 
     /// A short call beside the queries' own: giving up or a new priority.
-    pub async fn control_call(&self, method: &str, path: &str, body: &str) -> Result<u16, CallFault> {
+    pub async fn control_call(&self, method: &str, path: &str, body: &str) -> Result<u16, CallError> {
         self.short_call(&self.context.control_calls, method, path, body, |_, _| ()).await
     }
 
     pub async fn short_call(
-        &self, pool: &Rc<Pool>, method: &str, path: &str, body: &str, field: impl FnMut(&str, &str),
-    ) -> Result<u16, CallFault> {
+        &self, pool: &Rc<ConnectionPool>, method: &str, path: &str, body: &str, field: impl FnMut(&str, &str),
+    ) -> Result<u16, CallError> {
         let mut connection = self.lease(pool).await?;
-        let head = head(method, path, self.address, &[], body.len());
+        let head = request_head(method, path, self.address, &[], body.len());
         let call = connection.call(&head, body.as_bytes(), BODY_BYTES, |_| (), field);
-        let answer = within(self.context.connect_timeout, call).await;
-        let (status, _) = answer.unwrap_or(Err(CallFault::NoAnswerInTime))?;
+        let answer = with_timeout(self.context.connect_timeout, call).await;
+        let (status, _) = answer.unwrap_or(Err(CallError::NoAnswerInTime))?;
         Ok(status)
     }
 }
--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -6,11 +6,11 @@
 
 use crate::backends::sql::doubt::Settlement;
 use crate::backends::sql::query::{ASK_AGAIN, End, Out, PAGE_BYTES, PAUSE, SETTLE};
-use crate::clock::pass;
-use crate::faults::CallFault;
-use crate::http::head;
-use crate::pool::Lease;
-use crate::sockets::within;
+use crate::clock::sleep;
+use crate::faults::CallError;
+use crate::http::request_head;
+use crate::pool::PooledConnection;
+use crate::sockets::with_timeout;
 
 /// How long a query lives at most behind a call for it: news take up to 250 ms, and then 2 s without a call.
 const EXPIRY: Span = Span::from_micros(2_250_000);
@@ -37,7 +37,7 @@
             if self.doubt.is_refused() || self.now() >= self.expires() {
                 return;
             }
-            pass(PAUSE).await;
+            sleep(PAUSE).await;
         }
     }
 
@@ -48,31 +48,31 @@
     pub async fn give_up_over_own(&self, work: Pin<&mut impl Future<Output = End>>) {
         if self.is_posted.get() {
             self.stops.set(true);
-            within(ASK_AGAIN, work).await;
+            with_timeout(ASK_AGAIN, work).await;
         }
     }
 
     /// One call that gives it up.
-    async fn delete(&self) -> Result<(), CallFault> {
+    async fn delete(&self) -> Result<(), CallError> {
         let status = self.engine.control_call("DELETE", &self.path(), "").await;
         self.note_delete(Over::Another, status)
     }
 
     /// The same over the connection that its news came over, which no other query is sent over behind that: it may lead to a process that
     /// drains, while another has the port by now.
-    pub async fn delete_over(&self, lease: &mut Lease) {
-        let head = head("DELETE", &self.path(), self.engine.address, &[], 0);
+    pub async fn delete_over(&self, lease: &mut PooledConnection) {
+        let head = request_head("DELETE", &self.path(), self.engine.address, &[], 0);
         let call = lease.call(&head, &[], PAGE_BYTES, |_| (), |_, _| ());
-        let answer = within(self.engine.context.connect_timeout, call).await;
+        let answer = with_timeout(self.engine.context.connect_timeout, call).await;
         lease.reusable = false;
-        let status = answer.unwrap_or(Err(CallFault::NoAnswerInTime)).map(|(status, _)| status);
+        let status = answer.unwrap_or(Err(CallError::NoAnswerInTime)).map(|(status, _)| status);
         let over = if self.is_own.get() { Over::Own } else { Over::Another };
         if let Err(fault) = self.note_delete(over, status) {
             self.unheard("deleted over its connection", &fault);
         }
     }
 
-    fn note_delete(&self, over: Over, status: Result<u16, CallFault>) -> Result<(), CallFault> {
+    fn note_delete(&self, over: Over, status: Result<u16, CallError>) -> Result<(), CallError> {
         let status = status.inspect_err(|fault| self.doubt.note_break(fault))?;
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
         log::debug!(event = "delete_answered", job = job.as_str(), number, status, over:? = over; "DELETE answered {status} over {over:?}");
@@ -102,14 +102,14 @@
             return Settlement::Confirmed;
         }
         let settlement = self.expiry_or_end_of_engine().await;
-        self.engine.context.clock.until(self.expires()).await;
+        self.engine.context.clock.sleep_until(self.expires()).await;
         settlement
     }
 
     async fn expiry_or_end_of_engine(&self) -> Settlement {
         let mut gone_since = None;
         while self.doubt.is_open() {
-            pass(SETTLE).await;
+            sleep(SETTLE).await;
             let now = self.now();
             gone_since = self.engine.gone.get().then(|| gone_since.unwrap_or(now));
             if gone_since.is_some_and(|since| now.since(since) >= EXPIRY) {
@@ -119,8 +119,8 @@
             if deleted.is_ok() && now >= self.expires() {
                 return Settlement::Expired;
             }
-            let refused = deleted.is_err_and(|fault| matches!(fault, CallFault::Refused));
-            if refused && now >= self.dispatch.until {
+            let refused = deleted.is_err_and(|fault| matches!(fault, CallError::Refused));
+            if refused && now >= self.dispatch.deadline {
                 return Settlement::RefusedAfterDeadline;
             }
         }
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -10,7 +10,7 @@
 use crate::backends::sql::engine::{Engine, EngineContext};
 use crate::backends::sql::query;
 use crate::exchange::{Dispatch, Event};
-use crate::faults::CallFault;
+use crate::faults::CallError;
 use crate::tasks::Tasks;
 
 /// A probe that breaks, makes no sense or hears nothing is made again so often, as that may be noise on the
@@ -49,11 +49,11 @@
         let (engine, tasks) = (self.engine.clone(), self.engine.context.tasks);
         match call {
             EngineCall::Run(dispatch, orders) => {
-                tasks.start(query::run(engine, dispatch, orders, self.module.clone()));
+                tasks.spawn(query::run(engine, dispatch, orders, self.module.clone()));
             }
             EngineCall::Probe(id) => {
                 let urgent = engine.context.urgent.clone();
-                tasks.start(probe(engine, id, urgent));
+                tasks.spawn(probe(engine, id, urgent));
             }
         }
     }
@@ -88,7 +88,7 @@
     fn drop(&mut self) {
         let Some(module) = self.module.take() else { return };
         let left = ProbeEnd { module: Some(module), ..*self };
-        self.tasks.start(left.tell(Outcome::NotIssued));
+        self.tasks.spawn(left.tell(Outcome::NotIssued));
     }
 }
 
@@ -100,7 +100,7 @@
         outcome = ended;
         if matches!(outcome, Outcome::Done | Outcome::TurnedAway) {
             if let Some(stats) = stats {
-                let _ = module.send(Event::Reported { engine: id, stats }).await;
+                let _ = module.send(Event::LoadReported { engine: id, stats }).await;
             }
             break;
         }
@@ -124,12 +124,12 @@
         Ok(503) => Outcome::TurnedAway,
         Ok(_) => Outcome::Error,
         // What fails on this machine says nothing of the engine. Threat: one bad second would set all engines aside at once.
-        Err(CallFault::NoDescriptor | CallFault::Local(_)) => Outcome::NotIssued,
-        Err(CallFault::Refused) => Outcome::NotConnected,
-        Err(CallFault::NoConnectionInTime | CallFault::NoAnswerInTime | CallFault::TooSlow(_)) => {
+        Err(CallError::NoDescriptor | CallError::Local(_)) => Outcome::NotIssued,
+        Err(CallError::Refused) => Outcome::NotConnected,
+        Err(CallError::NoConnectionInTime | CallError::NoAnswerInTime | CallError::TooSlow(_)) => {
             Outcome::TimedOut
         }
-        Err(CallFault::Unreachable(_) | CallFault::Broken(_) | CallFault::Nonsense(_)) => Outcome::Reset,
+        Err(CallError::Unreachable(_) | CallError::Broken(_) | CallError::Malformed(_)) => Outcome::Reset,
     };
     (outcome, stats)
 }
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -10,13 +10,13 @@
 
 use crate::backends::sql::doubt::{Cause, Doubt};
 use crate::backends::sql::engine::Engine;
-use crate::clock::pass;
-use crate::exchange::{Dispatch, Event, Rows, measure};
-use crate::faults::CallFault;
-use crate::guards::{Refusal, Sending, Step};
-use crate::http::head;
-use crate::pool::Lease;
-use crate::sockets::within;
+use crate::clock::sleep;
+use crate::exchange::{Dispatch, Event, QueryResult, parse_measurement};
+use crate::faults::CallError;
+use crate::guards::{Refusal, SendConditions, Step};
+use crate::http::request_head;
+use crate::pool::PooledConnection;
+use crate::sockets::with_timeout;
 
 /// A result holds at most so many bytes, in pages of at most so many each.
 const RESULT_BYTES: usize = 48_000;
@@ -54,22 +54,22 @@
     }
 
     async fn tell(&mut self, (outcome, told, rows): End, doubt: Option<Cause>) {
-        let Dispatch { job, number, decided, .. } = self.out.dispatch;
-        let took = self.out.now().since(decided);
+        let Dispatch { job, number, decided_at, .. } = self.out.dispatch;
+        let took = self.out.now().since(decided_at);
         self.is_told = true;
         let in_doubt = doubt.is_some();
-        let ended = Event::Ended { job, number, outcome, took, told, rows, in_doubt };
+        let ended = Event::DispatchEnded { job, number, outcome, took, actual_cost: told, result: rows, in_doubt };
         let _ = self.out.module.send(ended).await;
     }
 
     /// The order of its key waits until it surely runs no more; nothing else does.
     async fn settle(mut self, doubt: Option<Cause>) {
-        if let Some((key, cause)) = self.out.dispatch.key.zip(doubt) {
+        if let Some((key, cause)) = self.out.dispatch.order_key.zip(doubt) {
             let (job, number) = (&self.out.dispatch.statement.id, self.out.dispatch.number);
             log::debug!(event = "key_in_doubt", job = job.as_str(), number, cause:? = cause; "its key is in doubt: {cause:?}");
             let settlement = self.out.settle().await;
             log::debug!(event = "key_settled", job = job.as_str(), number, settlement:? = settlement; "its key is settled: {settlement:?}");
-            let _ = self.out.module.send(Event::Settled { key }).await;
+            let _ = self.out.module.send(Event::KeySettled { order_key: key }).await;
         }
         self.is_settled = true;
     }
@@ -79,7 +79,7 @@
         if !self.is_told {
             self.tell((Outcome::Reset, None, None), Some(Cause::Panic)).await;
         }
-        pass(SETTLE).await;
+        sleep(SETTLE).await;
         self.settle(Some(Cause::Panic)).await;
     }
 }
@@ -91,12 +91,12 @@
         }
         self.out.doubt.begin_all();
         let left = Ending { out: self.out.clone(), is_told: self.is_told, is_settled: false };
-        self.out.engine.context.tasks.start(left.resume());
+        self.out.engine.context.tasks.spawn(left.resume());
     }
 }
 
 /// The outcome, the true work and memory where they are told, and the result.
-pub type End = (Outcome, Option<(Span, f64)>, Option<Rows>);
+pub type End = (Outcome, Option<(Span, f64)>, Option<QueryResult>);
 
 /// A query that is out, or about to be.
 pub struct Out {
@@ -133,7 +133,7 @@
 
 /// `orders` brings new priorities; the query is given up once it closes.
 pub async fn run(engine: Rc<Engine>, dispatch: Dispatch, orders: Receiver<u8>, module: Sender<Event>) {
-    let (asked, heard) = (Cell::new(dispatch.decided), Cell::new(dispatch.decided));
+    let (asked, heard) = (Cell::new(dispatch.decided_at), Cell::new(dispatch.decided_at));
     let out = Rc::new(Out {
         engine,
         dispatch,
@@ -150,8 +150,8 @@
     let mut ending = Ending::of(out.clone());
     let mut work = std::pin::pin!(out.work());
     let end = async { Ok(work.as_mut().await) }.or(async { Err(out.stopped().await) }).await;
-    if !out.began.get() && !out.dispatch.statement.wanted.still() {
-        let _ = out.module.send(Event::Unwanted { job: out.dispatch.job }).await;
+    if !out.began.get() && !out.dispatch.statement.client.is_waiting() {
+        let _ = out.module.send(Event::JobAbandoned { job: out.dispatch.job }).await;
     }
     // What may run is deleted before the module hears, so that no other dispatch of the job meets it.
     let mut unfinished = None;
@@ -161,7 +161,7 @@
         Err(outcome) => {
             out.give_up().await;
             // A DELETE goes by the job's id, and a job that is still wanted may be sent there again once the module hears.
-            let may_be_sent_again = out.dispatch.key.is_some() && out.dispatch.statement.wanted.still();
+            let may_be_sent_again = out.dispatch.order_key.is_some() && out.dispatch.statement.client.is_waiting();
             if out.doubt.is_refused() || may_be_sent_again {
                 out.give_up_over_own(work).await;
             } else {
@@ -173,7 +173,7 @@
     let doubt = out.doubt.cause(end.0).filter(|_| out.began.get());
     ending.tell(end, doubt).await;
     // Only the next of its key waits for that.
-    if let (Some(work), Some(_), Some(_)) = (unfinished, doubt, out.dispatch.key) {
+    if let (Some(work), Some(_), Some(_)) = (unfinished, doubt, out.dispatch.order_key) {
         out.give_up_over_own(work).await;
     }
     ending.settle(doubt).await;
@@ -192,7 +192,7 @@
     }
 
     /// From the POST to the last page.
-    async fn follow(&self) -> Result<(Option<(Span, f64)>, Rows), Outcome> {
+    async fn follow(&self) -> Result<(Option<(Span, f64)>, QueryResult), Outcome> {
         let (mut answer, mut lease) = self.begin().await?;
         while answer.status == 202 {
             if self.stops.get() {
@@ -231,7 +231,7 @@
     /// The POST and its answer. Where the answer stays away, breaks or makes no sense, the query is asked
     /// for, as it may run. A connection that breaks before a byte was written proves nothing of the engine
     /// and is replaced.
-    async fn begin(&self) -> Result<(Answer, Lease), Outcome> {
+    async fn begin(&self) -> Result<(Answer, PooledConnection), Outcome> {
         let connect_timeout = self.engine.context.connect_timeout;
         let statement = &self.dispatch.statement;
         let (began, priority) = (self.now(), self.dispatch.priority.to_string());
@@ -240,45 +240,45 @@
             let in_time = self.now().since(began) < connect_timeout;
             let mut lease = match self.engine.lease(&self.engine.context.queries).await {
                 Ok(lease) => lease,
-                Err(CallFault::NoDescriptor) => return Err(Outcome::NotIssued),
-                Err(CallFault::Local(_) | CallFault::Unreachable(_) | CallFault::Broken(_)) if in_time => {
-                    pass(pause).await;
+                Err(CallError::NoDescriptor) => return Err(Outcome::NotIssued),
+                Err(CallError::Local(_) | CallError::Unreachable(_) | CallError::Broken(_)) if in_time => {
+                    sleep(pause).await;
                     pause = pause.mul_f64(2.0).min(MOST_PAUSE);
                     continue;
                 }
                 // It says nothing of the engine, which is not set aside for it.
-                Err(CallFault::Local(_)) => return Err(Outcome::NotIssued),
+                Err(CallError::Local(_)) => return Err(Outcome::NotIssued),
                 Err(_) => return Err(Outcome::NotConnected),
             };
             if self.engine.context.freshness.is_stale() {
                 drop(lease);
-                self.engine.context.freshness.comes().await;
+                self.engine.context.freshness.wait_until_fresh().await;
                 continue;
             }
             if let Err(why) = self.may_begin() {
-                self.engine.context.guards.refused(Step::Send, why, &self.dispatch.statement.id);
+                self.engine.context.guards.record_refusal(Step::Send, why, &self.dispatch.statement.id);
                 return Err(Outcome::NotIssued);
             }
             self.heard.set(self.now());
-            let patience = self.dispatch.until.since(self.now()).micros().div_ceil(1000).to_string();
+            let patience = self.dispatch.deadline.since(self.now()).micros().div_ceil(1000).to_string();
             let mut fields = vec![
                 ("X-Trace", statement.id.as_str()),
                 ("X-Profile", &statement.class),
                 ("X-Patience", &patience),
                 ("X-Weight-Class", &priority),
             ];
-            fields.extend(statement.key.as_deref().map(|key| ("X-Asset", key)));
-            fields.extend(statement.once.as_deref().map(|once| ("X-Op-Key", once)));
+            fields.extend(statement.order_key.as_deref().map(|key| ("X-Asset", key)));
+            fields.extend(statement.idempotency_key.as_deref().map(|once| ("X-Op-Key", once)));
             self.is_own.set(true);
             let post = self.call(&mut lease, "POST", "/v2/q", &fields, statement.text.as_bytes(), 0);
-            match within(ASK_AGAIN, post).await.unwrap_or(Err(CallFault::NoAnswerInTime)) {
+            match with_timeout(ASK_AGAIN, post).await.unwrap_or(Err(CallError::NoAnswerInTime)) {
                 Ok(answer) => return Ok((answer, lease)),
-                Err(CallFault::Local(_)) if !self.began.get() && in_time => {
-                    pass(pause).await;
+                Err(CallError::Local(_)) if !self.began.get() && in_time => {
+                    sleep(pause).await;
                     pause = pause.mul_f64(2.0).min(MOST_PAUSE);
                     continue;
                 }
-                Err(CallFault::Local(_)) if !self.began.get() => return Err(Outcome::NotIssued),
+                Err(CallError::Local(_)) if !self.began.get() => return Err(Outcome::NotIssued),
                 Err(_) if !self.began.get() && in_time => continue,
                 Err(_) if !self.began.get() => return Err(Outcome::NotConnected),
                 Err(fault) => self.doubt.note_break(&fault),
@@ -299,30 +299,30 @@
     /// off, its client is gone.
     fn may_begin(&self) -> Result<(), Refusal> {
         self.sending().check()?;
-        if self.dispatch.statement.wanted.still() { Ok(()) } else { Err(Refusal::ClientGone) }
+        if self.dispatch.statement.client.is_waiting() { Ok(()) } else { Err(Refusal::ClientGone) }
     }
 
-    fn sending(&self) -> Sending {
-        Sending {
+    fn sending(&self) -> SendConditions {
+        SendConditions {
             now: self.now(),
-            engine_open: self.engine.open.get(),
-            until: self.dispatch.until,
-            repeat_before: self.dispatch.before,
-            called_off: self.orders.is_closed(),
+            is_engine_open: self.engine.open.get(),
+            deadline: self.dispatch.deadline,
+            repeat_deadline: self.dispatch.repeat_deadline,
+            is_called_off: self.orders.is_closed(),
         }
     }
 
     /// A byte of the POST was written. There is no wait between the guard and the first one, so what held there holds.
     fn note_first_byte(&self) {
         if let (false, Err(why)) = (self.began.replace(true), self.sending().check()) {
-            self.engine.context.guards.violated(Step::Send, why, &self.dispatch.statement.id);
+            self.engine.context.guards.record_violation(Step::Send, why, &self.dispatch.statement.id);
         }
     }
 
     /// Asks for news (0) or a page, again on another connection where one breaks, stays silent or brings what
     /// makes no sense: the engine gives the same answer again. It is heard from as long as it answers at all,
     /// so that noise on connections is not taken for its end.
-    async fn ask(&self, page: usize, mut lease: Option<Lease>) -> Result<(Answer, Lease), Outcome> {
+    async fn ask(&self, page: usize, mut lease: Option<PooledConnection>) -> Result<(Answer, PooledConnection), Outcome> {
         let path = format!("/v2/q/{}/{page}", self.dispatch.statement.id);
         let (mut doubts, mut crawls) = (0, 0);
         while doubts < DOUBTS {
@@ -340,17 +340,17 @@
                 Ok(mut lease) => {
                     // An engine that answers at a crawl answers: what has come of a page counts as heard.
                     let least = self.engine.context.least.get();
-                    lease.least = if crawls < CRAWLS { least } else { Least { rate: 1.0, ..least } };
+                    lease.min_rate = if crawls < CRAWLS { least } else { Least { rate: 1.0, ..least } };
                     match self.flowing(&mut lease, &path, page).await {
                         Ok(answer) => return Ok((answer, lease)),
-                        Err(CallFault::TooSlow(figures)) => {
+                        Err(CallError::TooSlow(figures)) => {
                             crawls += 1;
                             let at = self.engine.address;
                             log::debug!(event = "engine_crawls", engine:% = at, page; "engine {at}: page {page} {figures}");
                             self.heard.set(self.now());
                             continue;
                         }
-                        Err(CallFault::Nonsense(_)) => {
+                        Err(CallError::Malformed(_)) => {
                             doubts += 1;
                             self.heard.set(self.now());
                             continue;
@@ -361,9 +361,9 @@
                         }
                     }
                 }
-                Err(CallFault::Refused) => {
+                Err(CallError::Refused) => {
                     self.doubt.begin(Cause::Refused);
-                    self.doubt.note_break(&CallFault::Refused);
+                    self.doubt.note_break(&CallError::Refused);
                     return Err(Outcome::Reset);
                 }
                 Err(fault) => self.unheard("no connection to ask over", &fault),
@@ -372,7 +372,7 @@
                 self.give_up().await;
                 return Err(Outcome::Reset);
             }
-            pass(PAUSE).await;
+            sleep(PAUSE).await;
         }
         // What answers nonsense may have run the query, which is given up.
         self.give_up().await;
@@ -380,42 +380,42 @@
     }
 
     /// One call that is given up where no byte of its answer comes in time, or the rest of it too slowly.
-    async fn flowing(&self, lease: &mut Lease, path: &str, page: usize) -> Result<Answer, CallFault> {
+    async fn flowing(&self, lease: &mut PooledConnection, path: &str, page: usize) -> Result<Answer, CallError> {
         let clock = self.engine.context.clock;
         let began = self.now();
-        let flow = lease.flow.clone();
+        let flow = lease.response_progress.clone();
         let slow = async {
             loop {
-                let came = flow.came();
+                let came = flow.received();
                 let due = came.map_or(began + ASK_AGAIN, |came| came.due());
                 if clock.now() >= due {
-                    let Some(came) = came else { return Err(CallFault::NoAnswerInTime) };
-                    let span = came.last.since(began).secs();
+                    let Some(came) = came else { return Err(CallError::NoAnswerInTime) };
+                    let span = came.last_byte_at.since(began).secs();
                     let figures = format!("crawls: {} bytes in {span:.2} s", came.bytes);
-                    return Err(CallFault::TooSlow(figures));
+                    return Err(CallError::TooSlow(figures));
                 }
-                clock.until(due).await;
+                clock.sleep_until(due).await;
             }
         };
         let answer = self.call(lease, "GET", path, &[], &[], page).or(slow).await?;
-        if let Some(came) = flow.came() {
+        if let Some(came) = flow.received() {
             let (engine, bytes) = (self.dispatch.engine, answer.body.len());
-            let (first, body) = (came.first.since(began), came.last.since(came.first));
-            let _ = self.module.try_send(Event::Sent { engine, bytes, first, body });
+            let (first, body) = (came.first_byte_at.since(began), came.last_byte_at.since(came.first_byte_at));
+            let _ = self.module.try_send(Event::PageReceived { engine, bytes, time_to_first_byte: first, transfer_time: body });
         }
         Ok(answer)
     }
 
     /// One call for what page 0 or a further page answers; it may be any of the ends, and must make sense.
     async fn call(
-        &self, lease: &mut Lease, method: &str, path: &str, fields: &[(&str, &str)], body: &[u8], page: usize,
-    ) -> Result<Answer, CallFault> {
-        let head = head(method, path, self.engine.address, fields, body.len());
+        &self, lease: &mut PooledConnection, method: &str, path: &str, fields: &[(&str, &str)], body: &[u8], page: usize,
+    ) -> Result<Answer, CallError> {
+        let head = request_head(method, path, self.engine.address, fields, body.len());
         let mut answer = Answer::default();
         let (mut note, mut value, mut spent, mut wanted, mut stats) = (None, None, None, None, None);
         let mut sound = true;
         let mut number = |text: &str| {
-            let number = measure(text);
+            let number = parse_measurement(text);
             sound &= number.is_some();
             number
         };
@@ -453,10 +453,10 @@
         (answer.status, answer.body) = (status, body);
         if !sound || note.is_some() != value.is_some() || !answer.makes_sense(page) {
             lease.reusable = false;
-            return Err(CallFault::Nonsense("no answer to this call"));
+            return Err(CallError::Malformed("no answer to this call"));
         }
         if let Some(stats) = stats {
-            let _ = self.module.send(Event::Reported { engine: self.dispatch.engine, stats }).await;
+            let _ = self.module.send(Event::LoadReported { engine: self.dispatch.engine, stats }).await;
         }
         answer.note = note.zip(value);
         answer.told = spent.map(|spent| (Span::from_secs(spent / 1e3), wanted.unwrap_or(0.0)));
@@ -476,9 +476,9 @@
     }
 
     /// Every page of the result, each whole and in its place.
-    async fn collect(&self, first: Answer, mut lease: Lease) -> Result<Rows, Outcome> {
+    async fn collect(&self, first: Answer, mut lease: PooledConnection) -> Result<QueryResult, Outcome> {
         let most = if first.pages > 1 { RESULT_BYTES } else { first.body.len() };
-        let held = self.engine.context.room.take(self.dispatch.statement.holder, most).await;
+        let held = self.engine.context.room.acquire(self.dispatch.statement.holder, most).await;
         let (count, mut bytes, mut pages) = (first.pages, first.body.len(), vec![first.body]);
         while pages.len() < count {
             let (answer, same) = self.ask(pages.len(), Some(lease)).await?;
@@ -489,13 +489,13 @@
             lease = same;
             pages.push(answer.body);
         }
-        Ok(Rows::new(pages, held))
+        Ok(QueryResult::new(pages, held))
     }
 
     /// Passes on new priorities until the query's time is up or it is given up.
     async fn stopped(&self) -> Outcome {
         let late = async {
-            self.engine.context.clock.until(self.dispatch.until).await;
+            self.engine.context.clock.sleep_until(self.dispatch.deadline).await;
             Outcome::TimedOut
         };
         let told = async {
@@ -515,7 +515,7 @@
         late.or(told).await
     }
 
-    pub fn unheard(&self, what: &str, fault: &CallFault) {
+    pub fn unheard(&self, what: &str, fault: &CallError) {
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
         log::debug!(event = "unheard", job = job.as_str(), number, what; "{what}: {fault}");
     }
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -4,7 +4,7 @@
 
 use woadhook::{Moment, Span};
 
-pub use crate::timers::pass;
+pub use crate::timers::sleep;
 
 #[derive(Clone, Copy)]
 pub struct Clock {
@@ -23,7 +23,7 @@
     }
 
     /// Comes when the moment has.
-    pub async fn until(self, moment: Moment) {
-        pass(moment.since(self.now())).await;
+    pub async fn sleep_until(self, moment: Moment) {
+        sleep(moment.since(self.now())).await;
     }
 }
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -15,7 +15,7 @@
 use woadhook_operator::{OperatorFile, subprocess, page};
 use woadhook_router::clock::Clock;
 use woadhook_router::file_reads::FileReads;
-use woadhook_router::gossip::Talk;
+use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
 use woadhook_router::signals::Heeded;
 use woadhook_router::tasks::Tasks;
@@ -187,7 +187,7 @@
     let read = FileReads::new(move || Ok((config::read()?, read_keys(&named)?)));
     let Some((given, keys)) = async_io::block_on(signals.first(read))? else { return Ok(()) };
     let sections = sheet.section("gossip").zip(sheet.section("accord")).zip(keys);
-    let talk = sections.map(|((talk, accord), keys)| Talk::open(talk, accord, keys)).transpose()?;
+    let talk = sections.map(|((talk, accord), keys)| GossipSetup::open(talk, accord, keys)).transpose()?;
     let listener = TcpListener::bind(given.listen).map_err(|error| format!("{}: {error}", given.listen))?;
     // Only keys, passes and revocations of the operator file count before the next start.
     let rekeyed = file.filter(|_| talk.is_some()).map(|file| FileReads::new(move || read_keys_again(&file)));
@@ -272,7 +272,7 @@
         }
         Key::Show { file } => show(&file),
         Key::Admit { by, name, days: count, to } => {
-            let operator = keyfiles::secret(&by.operator_key)?;
+            let operator = keyfiles::read_secret(&by.operator_key)?;
             let pass = Pass::issue(
                 &operator,
                 &name,
@@ -285,14 +285,14 @@
             Ok(format!("{} {}, {count} days\n", pass.name, pass.id()))
         }
         Key::Order { operator_key, cluster, epoch, voters, to } => {
-            let operator = keyfiles::secret(&operator_key)?;
+            let operator = keyfiles::read_secret(&operator_key)?;
             let order = VoterSet::issue(&operator, ClusterId::from_name(&cluster), epoch, &voters)?;
             keyfiles::write_new(&to, order.to_text().as_bytes(), 0o644)?;
             Ok(said_of(&order))
         }
         Key::Revoke { by, days: count, list } => {
-            let operator = keyfiles::secret(&by.operator_key)?;
-            let mut listed = if list.exists() { keyfiles::revocations(&list)? } else { Vec::new() };
+            let operator = keyfiles::read_secret(&by.operator_key)?;
+            let mut listed = if list.exists() { keyfiles::read_revocations(&list)? } else { Vec::new() };
             let new =
                 Revocation::issue(&operator, &by.member, ClusterId::from_name(&by.cluster), now + days(count));
             listed.retain(|old| old.member != new.member && old.until > now);
@@ -309,7 +309,7 @@
 }
 
 fn show(file: &Path) -> Result<String, String> {
-    if let Ok(pass) = keyfiles::pass(file) {
+    if let Ok(pass) = keyfiles::read_pass(file) {
         let now = Clock::start().now();
         let left = pass.until.since(now).secs() / 86_400.0;
         let state = if left > 0.0 { format!("ends in {left:.1} days") } else { "has ended".to_owned() };
@@ -320,13 +320,13 @@
             public_key_to_text(&pass.key)
         ));
     }
-    if let Ok(order) = keyfiles::order(file) {
+    if let Ok(order) = keyfiles::read_order(file) {
         return Ok(said_of(&order));
     }
-    if let Ok(list) = keyfiles::revocations(file) {
+    if let Ok(list) = keyfiles::read_revocations(file) {
         return Ok(list.iter().map(|each| format!("revoked {}\n", each.member)).collect());
     }
-    let secret = keyfiles::secret(file)?;
+    let secret = keyfiles::read_secret(file)?;
     let public = secret.public();
     Ok(format!("secret key of {}\npublic {}\n", MemberId::of_key(&public), public_key_to_text(&public)))
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -12,7 +12,7 @@
 /// The longest configuration, with the engine list so far.
 const CONFIG_BYTES: u64 = 16 * 1024 * 1024;
 
-pub struct Given {
+pub struct RouterConfig {
     pub listen: SocketAddr,
     pub seed: u64,
     pub memory_mb: f64,
@@ -25,7 +25,7 @@
 }
 
 /// Reads the file that `LB_CONFIG` names. It may wait for the file.
-pub fn read() -> Result<Given> {
+pub fn read() -> Result<RouterConfig> {
     let path = env::var("LB_CONFIG").map_err(|_| "LB_CONFIG names no file".to_owned())?;
     let words = read_file(Path::new(&path))?;
     parse(&words, env::var("LB_LISTEN").ok()).map_err(|fault| format!("{path}: {fault}"))
@@ -37,21 +37,21 @@
     text.map(|mut text| std::mem::take(&mut *text)).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-pub fn parse(words: &str, listen: Option<String>) -> Result<Given> {
+pub fn parse(words: &str, listen: Option<String>) -> Result<RouterConfig> {
     let mut given: Value = serde_json::from_str(words).map_err(|error| error.to_string())?;
     let limits = required(&given, "limits")?;
     let listen = listen.map_or_else(|| text(&given, "listen").map(str::to_owned), Ok)?;
-    Ok(Given {
-        listen: address(&listen)?,
+    Ok(RouterConfig {
+        listen: parse_address(&listen)?,
         seed: u64::from_str_radix(text(&given, "seed")?, 16).map_err(|error| format!("seed: {error}"))?,
         memory_mb: number(limits, "memory_mb")?,
         descriptors: integer(limits, "sockets")? as usize,
-        bulletin: address(text(&given, "bulletin")?)?,
+        bulletin: parse_address(text(&given, "bulletin")?)?,
         known: given["known"].take(),
         settings: given["settings"].take(),
     })
 }
 
-pub fn address(words: &str) -> Result<SocketAddr> {
+pub fn parse_address(words: &str) -> Result<SocketAddr> {
     words.parse().map_err(|error| format!("{words}: {error}"))
 }
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -20,10 +20,10 @@
 use crate::backends::sql::engine::EngineContext;
 use crate::backends::sql::handle::{EngineCall, EngineHandle};
 use crate::clock::Clock;
-use crate::config::address;
-use crate::exchange::{Answer, Dispatch, Event, MALFORMED, Note, Notes, Reply, Statement, measure};
+use crate::config::parse_address;
+use crate::exchange::{Answer, Dispatch, Event, MALFORMED, GossipEvent, GossipHandle, Responder, Statement, parse_measurement};
 use crate::guards::{Earlier, Refusal, Step};
-use crate::starts::{Happened, Stamp};
+use crate::starts::{EventTime, Stamp};
 use crate::unsettled_keys::UnsettledKeys;
 
 pub const MAILBOX: usize = 4096;
@@ -43,7 +43,7 @@
     /// By which its type keeps order.
     key: Option<KeyId>,
     /// Taken by the one answer.
-    reply: Option<Reply>,
+    reply: Option<Responder>,
     dispatches: usize,
     /// Whether one of them ended such that it may have run.
     may_have_run: bool,
@@ -103,7 +103,7 @@
     /// When the last answer is due, once the router is stopping.
     last_answer: Option<Moment>,
     /// The actor that talks with other routers, where they talk.
-    notes: Option<Notes>,
+    notes: Option<GossipHandle>,
     standing: Standing,
     /// The slowest that engines may send pages; a share of the middle engine's rate, if that is less than the most.
     least: Rc<Cell<Least>>,
@@ -114,7 +114,7 @@
 impl Dispatcher {
     pub fn new(
         clock: Clock, seed: u64, settings: Value, context: Rc<EngineContext>, module: Sender<Event>,
-        notes: Option<Notes>, share: f64,
+        notes: Option<GossipHandle>, share: f64,
     ) -> Result<Self> {
         let (least, most_least) = (context.least.clone(), context.least.get());
         Ok(Self {
@@ -149,7 +149,7 @@
             let due = async {
                 match wake {
                     _ if more => {}
-                    Some(moment) => self.clock.until(moment).await,
+                    Some(moment) => self.clock.sleep_until(moment).await,
                     None => future::pending().await,
                 }
                 Ok(None)
@@ -190,8 +190,8 @@
 
     fn take_in(&mut self, now: Moment, event: Event) {
         match event {
-            Event::Arrived { client, statement, kind, group, tenant, key, told, memory, deadline, reply } => {
-                self.arrive(now, client, statement, kind, group, tenant, key, told, memory, deadline, reply);
+            Event::JobArrived { client, statement, kind, group, tenant, order_key, stated_work, memory, deadline, responder } => {
+                self.arrive(now, client, statement, kind, group, tenant, order_key, stated_work, memory, deadline, responder);
             }
             Event::Withdrawn { client, number } => {
                 if let Some(job) = self.asked.get(&(client, number)) {
@@ -204,16 +204,16 @@
                     self.withdraw(job);
                 }
             }
-            Event::Settled { key } => self.settle(now, key),
-            Event::Unwanted { job } => self.withdraw(job),
-            Event::Ping { reply } => {
+            Event::KeySettled { order_key } => self.settle(now, order_key),
+            Event::JobAbandoned { job } => self.withdraw(job),
+            Event::Ping { responder } => {
                 let serves = self.serves();
                 if let Err(why) = serves {
-                    self.context.guards.refused(Step::Start, why, "");
+                    self.context.guards.record_refusal(Step::Start, why, "");
                 }
-                reply.send(Answer::Pong(serves.is_ok()));
+                responder.send(Answer::Pong(serves.is_ok()));
             }
-            Event::Ended { job, number, outcome, took, told, rows, in_doubt } => {
+            Event::DispatchEnded { job, number, outcome, took, actual_cost, result, in_doubt } => {
                 let Some(open) = self.jobs.get_mut(&job) else {
                     return self.end_left_over(now, job, number, in_doubt);
                 };
@@ -225,10 +225,10 @@
                 log::debug!(event = "dispatch_ended", job = open.statement.id, number, outcome:? = outcome, took_us = took.micros(); "dispatch ended");
                 if let Some((engine, _)) = at {
                     let of = &self.instance.types[kind.0];
-                    self.note(engine, |engine| Note::Ended { engine, of: of.clone(), outcome });
+                    self.note(engine, |engine| GossipEvent::DispatchEnded { engine, of: of.clone(), outcome });
                 }
                 let reply = if outcome == Outcome::Done { self.reply_to(job) } else { None };
-                if let Some((reply, rows)) = reply.zip(rows) {
+                if let Some((reply, rows)) = reply.zip(result) {
                     self.standing.result(rows.pages.iter().map(Vec::len).sum());
                     reply.send(Answer::Served(rows));
                 }
@@ -236,7 +236,7 @@
                     self.doubt(key);
                 }
                 let over = self.jobs[&job].reply.is_none();
-                let told = told.filter(|_| self.instance.costs_in_answers);
+                let told = actual_cost.filter(|_| self.instance.costs_in_answers);
                 self.instance.router.dispatch_ended(now, job, number, outcome, took, told, over);
                 if over {
                     self.call_off(job);
@@ -245,22 +245,22 @@
             Event::Progressed { job, number, progress } => {
                 self.instance.router.progress_reported(now, job, number, progress);
             }
-            Event::Reported { engine, stats } => self.report(now, engine, &stats),
+            Event::LoadReported { engine, stats } => self.report(now, engine, &stats),
             Event::ProbeEnded { engine, outcome } => {
                 self.instance.router.probe_ended(now, engine, outcome);
                 if matches!(outcome, Outcome::Done | Outcome::TurnedAway) {
-                    self.note(engine, |engine| Note::Answered { engine });
+                    self.note(engine, |engine| GossipEvent::ProbeAnswered { engine });
                 }
             }
-            Event::Sent { engine, bytes, first, body } => self.sent(engine, bytes, first, body),
-            Event::Hearsay { engine, of, doubt } => self.hearsay(now, &engine, of.as_deref(), doubt),
-            Event::Listed { roster, happened, in_part, read } => {
-                let _ = read.try_send(self.follow_list(now, &roster, happened, in_part));
+            Event::PageReceived { engine, bytes, time_to_first_byte, transfer_time } => self.sent(engine, bytes, time_to_first_byte, transfer_time),
+            Event::PeerReport { engine, reservation_type, suspicion } => self.hearsay(now, &engine, reservation_type.as_deref(), suspicion),
+            Event::ListReceived { roster, event_time, skip_malformed, result } => {
+                let _ = result.try_send(self.follow_list(now, &roster, event_time, skip_malformed));
                 self.tell_list();
             }
-            Event::Stopping { by } => {
-                self.last_answer = Some(by);
-                self.instance.router.stop_by(by);
+            Event::Stopping { last_answer_due } => {
+                self.last_answer = Some(last_answer_due);
+                self.instance.router.stop_by(last_answer_due);
             }
         }
     }
@@ -286,9 +286,9 @@
     }
 
     /// Tells the actor that talks with other routers of an engine, if there is one.
-    fn note(&self, engine: EngineId, note: impl FnOnce(String) -> Note) {
+    fn note(&self, engine: EngineId, note: impl FnOnce(String) -> GossipEvent) {
         if let Some(notes) = &self.notes {
-            notes.tell(note(self.instance.engines.name(engine.0).to_owned()));
+            notes.send(note(self.instance.engines.name(engine.0).to_owned()));
         }
     }
 
@@ -299,7 +299,7 @@
             let name = |engine: &EngineId| self.instance.engines.name(engine.0).to_owned();
             let came_up = |line: &Line| line.start.map(Stamp::moment).unwrap_or_default();
             let lines = there.map(|(engine, known)| (name(engine), came_up(&known.line)));
-            notes.list(lines.collect());
+            notes.send_list(lines.collect());
         }
     }
 
@@ -315,9 +315,9 @@
     fn arrive(
         &mut self, now: Moment, client: u64, statement: Rc<Statement>, kind: TypeId, group: GroupId,
         tenant: Option<String>, key: Option<String>, told: Option<Span>, memory: f64, deadline: Moment,
-        reply: Reply,
+        reply: Responder,
     ) {
-        let asked = (client, reply.number());
+        let asked = (client, reply.request_number());
         if self.instance.jobs.get(&statement.id).is_some() || self.asked.contains_key(&asked) {
             return reply.send(Answer::Failed(MALFORMED));
         }
@@ -336,10 +336,10 @@
     }
 
     /// The one right to answer a job, if it is still there.
-    fn reply_to(&mut self, job: JobId) -> Option<Reply> {
+    fn reply_to(&mut self, job: JobId) -> Option<Responder> {
         let open = self.jobs.get_mut(&job)?;
         let reply = open.reply.take()?;
-        self.asked.remove(&(open.client, reply.number()));
+        self.asked.remove(&(open.client, reply.request_number()));
         Some(reply)
     }
 
@@ -369,12 +369,12 @@
         let fields = || stats.split(';').filter_map(|field| field.split_once(':'));
         self.instance.load_reported(now, engine, |_, wanted| {
             let (_, value) = fields().find(|(name, _)| name.trim() == wanted)?;
-            measure(value)
+            parse_measurement(value)
         });
     }
 
     /// Takes in all lines or, where one can't be read, none; `in_part`, those that can.
-    fn follow_list(&mut self, now: Moment, roster: &Value, happened: Happened, in_part: bool) -> Result<()> {
+    fn follow_list(&mut self, now: Moment, roster: &Value, happened: EventTime, in_part: bool) -> Result<()> {
         let lines = array(roster, "members")?.iter().map(|member| self.read_line(member));
         let passed_over = |fault: &String| log::warn!("a line of the list is passed over: {fault}");
         let usable =
@@ -406,7 +406,7 @@
             other => return Err(format!("phase: unknown {other}")),
         };
         let line = Line {
-            at: address(text(member, "host_port")?)?,
+            at: parse_address(text(member, "host_port")?)?,
             zone: ZoneId(index_of(&self.instance.zones, text(member, "locality")?, "locality")?),
             kind: KindId(index_of(&self.instance.kinds, text(member, "flavor")?, "flavor")?),
             cell: CellId(integer(member, "cell").unwrap_or(0) as usize),
@@ -416,7 +416,7 @@
         Ok((text(member, "id")?.to_owned(), line))
     }
 
-    fn list(&mut self, now: Moment, engine: EngineId, line: Line, happened: Happened) {
+    fn list(&mut self, now: Moment, engine: EngineId, line: Line, happened: EventTime) {
         let known = self.engines.get(&engine).filter(|known| known.line.start == line.start);
         let heard = || line.start.map(|start| now.saturating_sub(happened.least_age(start, now)));
         let started = known.map_or_else(heard, |known| known.started);
@@ -458,7 +458,7 @@
                 let answer = match self.check_rejection(job) {
                     Ok(()) => Answer::Overloaded(come_back),
                     Err(why) => {
-                        self.context.guards.violated(Step::Repeat, why, self.instance.jobs.name(job.0));
+                        self.context.guards.record_violation(Step::Repeat, why, self.instance.jobs.name(job.0));
                         Answer::Failed("Internal")
                     }
                 };
@@ -485,12 +485,12 @@
                 let name = self.instance.engines.name(engine.0);
                 log::info!(event = "engine_set_aside", engine = name, why = why.description(); "engine {name} set aside: {}", why.description());
                 let seen = if why == SetAsideReason::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
-                self.note(engine, |engine| Note::Judged { engine, seen });
+                self.note(engine, |engine| GossipEvent::EngineJudged { engine, seen });
             }
             Decision::Back { engine } => {
                 let name = self.instance.engines.name(engine.0);
                 log::info!(event = "engine_back", engine = name; "engine {name} is back");
-                self.note(engine, |engine| Note::Judged { engine, seen: EngineCondition::Well });
+                self.note(engine, |engine| GossipEvent::EngineJudged { engine, seen: EngineCondition::Well });
             }
             Decision::Forget(Forgotten::Job(job)) => {
                 self.jobs.remove(&job);
@@ -525,7 +525,7 @@
         let (statement, key) = (open.statement.clone(), open.key);
         let until = until.min(open.deadline);
         let dispatch =
-            Dispatch { job, number, engine, statement, decided: now, until, before, key, priority };
+            Dispatch { job, number, engine, statement, decided_at: now, deadline: until, repeat_deadline: before, order_key: key, priority };
         let (orders, taken) = async_channel::bounded(ORDERS);
         open.out.insert(number, (engine, orders));
         known.handle.send(EngineCall::Run(dispatch, taken));
@@ -552,7 +552,7 @@
 
     /// A dispatch that must not be, whatever the module decided: it is told that it was not issued.
     fn refuse_dispatch(&mut self, now: Moment, job: JobId, why: Refusal) {
-        self.context.guards.violated(Step::Repeat, why, self.instance.jobs.name(job.0));
+        self.context.guards.record_violation(Step::Repeat, why, self.instance.jobs.name(job.0));
         let Some(open) = self.jobs.get_mut(&job) else { return };
         let number = open.dispatches;
         open.dispatches += 1;
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -14,11 +14,11 @@
 use crate::clock::Clock;
 use crate::discovery::calls::{Asked, Calls, Ended, MOST_CALLS, MOST_FORMER, Pace};
 use crate::exchange::Event;
-use crate::faults::CallFault;
-use crate::freshness::Freshness;
-use crate::http::{Connection, head};
-use crate::sockets::{Link, within};
-use crate::starts::Happened;
+use crate::faults::CallError;
+use crate::freshness::ListFreshness;
+use crate::http::{Connection, request_head};
+use crate::sockets::{Socket, with_timeout};
+use crate::starts::EventTime;
 
 const LIST_BYTES: usize = 4 * 1024 * 1024;
 /// The longest patience that it grants.
@@ -59,7 +59,7 @@
 /// Follows discovery from `last`, the number of the last event known, which goes on at a new address.
 pub async fn follow(
     clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<Move>, module: Sender<Event>,
-    freshness: Freshness,
+    freshness: ListFreshness,
 ) {
     let patience = grace.mul_f64(PATIENCE_PART).min(LONGEST);
     let follower = Follower {
@@ -88,7 +88,7 @@
     patience: Span,
     last: u64,
     module: Sender<Event>,
-    freshness: Freshness,
+    freshness: ListFreshness,
     /// For its connections.
     descriptors: Arc<Semaphore>,
     calls: Calls<Answer, DiscoveryFault>,
@@ -120,7 +120,7 @@
                     }
                     let passed = self.answered(told, connection).await;
                     if passed.is_ok() && !is_former {
-                        self.freshness.heard(began);
+                        self.freshness.list_received(began);
                     }
                     passed
                 }
@@ -142,7 +142,7 @@
         };
         let (clock, at) = (self.clock, self.due());
         let due = async {
-            clock.until(at).await;
+            clock.sleep_until(at).await;
             Heard::Due
         };
         let ended = async { Heard::Ended(self.calls.next().await) };
@@ -182,7 +182,7 @@
         let passed = if self.last == 0 {
             pass_on_first(&told, &mut self.last, in_part, &self.module).await
         } else {
-            pass_on(&told, Happened::Lately, &mut self.last, in_part, &self.module).await
+            pass_on(&told, EventTime::SinceLastContact, &mut self.last, in_part, &self.module).await
         };
         if passed.is_ok() {
             self.doubts = 0;
@@ -200,7 +200,7 @@
         self.calls.moved();
         self.retry = None;
         if known.is_object() {
-            pass_on(&known, Happened::Lately, &mut self.last, false, &self.module).await
+            pass_on(&known, EventTime::SinceLastContact, &mut self.last, false, &self.module).await
         } else {
             Ok(())
         }
@@ -219,7 +219,7 @@
 /// Why a call to discovery brought nothing.
 #[derive(Debug)]
 enum DiscoveryFault {
-    Call(CallFault),
+    Call(CallError),
     Status(u16),
     Body(serde_json::Error),
 }
@@ -239,9 +239,9 @@
     clock: Clock, kept: Option<Connection>, descriptors: Arc<Semaphore>, address: SocketAddr, path: String,
     asked: Asked,
 ) -> std::result::Result<Answer, DiscoveryFault> {
-    let call = within(CALL_LIFE, call(clock, kept, descriptors, address, path, asked)).await;
+    let call = with_timeout(CALL_LIFE, call(clock, kept, descriptors, address, path, asked)).await;
     let (status, body, connection) =
-        call.unwrap_or(Err(CallFault::NoAnswerInTime)).map_err(DiscoveryFault::Call)?;
+        call.unwrap_or(Err(CallError::NoAnswerInTime)).map_err(DiscoveryFault::Call)?;
     if status != 200 {
         return Err(DiscoveryFault::Status(status));
     }
@@ -252,15 +252,15 @@
 async fn call(
     clock: Clock, kept: Option<Connection>, descriptors: Arc<Semaphore>, address: SocketAddr, path: String,
     asked: Asked,
-) -> std::result::Result<(u16, Vec<u8>, Connection), CallFault> {
+) -> std::result::Result<(u16, Vec<u8>, Connection), CallError> {
     let mut connection = match kept {
         Some(kept) => kept,
         None => {
             let permit = descriptors.acquire_arc().await;
-            Connection::new(Link::connect(address, CALL_LIFE, permit).await?, clock)
+            Connection::new(Socket::connect(address, CALL_LIFE, permit).await?, clock)
         }
     };
-    let head = head("GET", &path, address, &[], 0);
+    let head = request_head("GET", &path, address, &[], 0);
     let wrote = |_| asked.set(true);
     let (status, body) = connection.call(&head, &[], LIST_BYTES, wrote, |_, _| ()).await?;
     Ok((status, body, connection))
@@ -273,13 +273,13 @@
 
 /// Passes on the first events that this router hears of, which may have happened at any time before.
 async fn pass_on_first(told: &Value, last: &mut u64, in_part: bool, module: &Sender<Event>) -> Result<()> {
-    let happened = Happened::before(array(told, "items")?);
+    let happened = EventTime::before_first_contact(array(told, "items")?);
     pass_on(told, happened, last, in_part, module).await
 }
 
 /// Passes on the events behind `last`, of `in_part` those lines that can be read. After a gap only a whole list will do.
 async fn pass_on(
-    told: &Value, happened: Happened, last: &mut u64, in_part: bool, module: &Sender<Event>,
+    told: &Value, happened: EventTime, last: &mut u64, in_part: bool, module: &Sender<Event>,
 ) -> Result<()> {
     for item in array(told, "items")? {
         let number = integer(item, "no")?;
@@ -291,7 +291,7 @@
                 return Err(format!("event {} is missing", *last + 1));
             }
             let (read, answer) = async_channel::bounded(1);
-            let _ = module.send(Event::Listed { roster: roster.clone(), happened, in_part, read }).await;
+            let _ = module.send(Event::ListReceived { roster: roster.clone(), event_time: happened, skip_malformed: in_part, result: read }).await;
             answer.recv().await.map_err(|_| "no module".to_owned())??;
         }
         *last = number;
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -11,25 +11,25 @@
 use woadhook_gossip::EngineCondition;
 
 use crate::keyfiles::Keys;
-use crate::memory::{Held, Holder};
-use crate::starts::Happened;
+use crate::memory::{MemoryPermit, Holder};
+use crate::starts::EventTime;
 
 /// The error for what can't be taken, whatever is wrong with it.
 pub const MALFORMED: &str = "Malformed";
 
 /// What the module's actor is told.
 pub enum Event {
-    Arrived {
+    JobArrived {
         client: u64,
         statement: Rc<Statement>,
         kind: TypeId,
         group: GroupId,
         tenant: Option<String>,
-        key: Option<String>,
-        told: Option<Span>,
+        order_key: Option<String>,
+        stated_work: Option<Span>,
         memory: f64,
         deadline: Moment,
-        reply: Reply,
+        responder: Responder,
     },
     Withdrawn {
         client: u64,
@@ -39,32 +39,32 @@
         client: u64,
     },
     /// The client of this job was found gone right before a dispatch.
-    Unwanted {
+    JobAbandoned {
         job: JobId,
     },
     Ping {
-        reply: Reply,
+        responder: Responder,
     },
-    Ended {
+    DispatchEnded {
         job: JobId,
         number: usize,
         outcome: Outcome,
         took: Span,
-        told: Option<(Span, f64)>,
-        rows: Option<Rows>,
+        actual_cost: Option<(Span, f64)>,
+        result: Option<QueryResult>,
         /// Whether it may run on, as its engine said nothing to the call that gave it up.
         in_doubt: bool,
     },
     /// A dispatch for this key that was in doubt runs no more.
-    Settled {
-        key: KeyId,
+    KeySettled {
+        order_key: KeyId,
     },
     Progressed {
         job: JobId,
         number: usize,
         progress: Progress,
     },
-    Reported {
+    LoadReported {
         engine: EngineId,
         stats: String,
     },
@@ -73,27 +73,27 @@
         outcome: Outcome,
     },
     /// Changes of the list; the answer tells whether they could be read. Of one taken in part, lines that can't are left out.
-    Listed {
+    ListReceived {
         roster: Value,
-        happened: Happened,
-        in_part: bool,
-        read: Sender<Result<()>>,
+        event_time: EventTime,
+        skip_malformed: bool,
+        result: Sender<Result<()>>,
     },
     /// So much of an answer came from an engine: how long to its first byte, and from there to its last.
-    Sent {
+    PageReceived {
         engine: EngineId,
         bytes: usize,
-        first: Span,
-        body: Span,
+        time_to_first_byte: Span,
+        transfer_time: Span,
     },
     /// What other routers say of an engine, by name.
-    Hearsay {
+    PeerReport {
         engine: String,
-        of: Option<String>,
-        doubt: f64,
+        reservation_type: Option<String>,
+        suspicion: f64,
     },
     Stopping {
-        by: Moment,
+        last_answer_due: Moment,
     },
 }
 
@@ -103,34 +103,34 @@
     pub id: String,
     pub class: String,
     /// The client's key, and what repeats are known by, where it gave them: they go on unchanged.
-    pub key: Option<String>,
-    pub once: Option<String>,
+    pub order_key: Option<String>,
+    pub idempotency_key: Option<String>,
     pub text: String,
     /// The room that it takes.
-    pub held: Held,
-    pub wanted: Wanted,
+    pub memory: MemoryPermit,
+    pub client: WaitingClient,
 }
 
 /// Whether somebody still waits for a job. Threat: a client that closes or cancels while its job waits, behind a thread
 /// that is busy or a connection that is not up yet; what it said may stand in a mailbox or unread in its socket. So each
 /// dispatch looks here right before its first byte.
-pub struct Wanted {
+pub struct WaitingClient {
     taken_back: Cell<bool>,
     connected: Box<dyn Fn() -> bool>,
 }
 
-impl Wanted {
+impl WaitingClient {
     /// `connected` looks at the client's connection itself.
     pub fn new(connected: impl Fn() -> bool + 'static) -> Self {
         Self { taken_back: Cell::new(false), connected: Box::new(connected) }
     }
 
     /// The client waits no longer.
-    pub fn take_back(&self) {
+    pub fn withdraw(&self) {
         self.taken_back.set(true);
     }
 
-    pub fn still(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         !self.taken_back.get() && (self.connected)()
     }
 }
@@ -140,49 +140,49 @@
     pub number: usize,
     pub engine: EngineId,
     pub statement: Rc<Statement>,
-    pub decided: Moment,
-    pub until: Moment,
+    pub decided_at: Moment,
+    pub deadline: Moment,
     /// When it must have begun, as an earlier dispatch of the job may have run.
-    pub before: Option<Moment>,
+    pub repeat_deadline: Option<Moment>,
     /// The key by which its type keeps order.
-    pub key: Option<KeyId>,
+    pub order_key: Option<KeyId>,
     pub priority: u8,
 }
 
 /// A whole result, and the room it takes.
-pub struct Rows {
+pub struct QueryResult {
     pub pages: Vec<Vec<u8>>,
-    _held: Held,
+    _held: MemoryPermit,
 }
 
-impl Rows {
-    pub fn new(pages: Vec<Vec<u8>>, held: Held) -> Self {
+impl QueryResult {
+    pub fn new(pages: Vec<Vec<u8>>, held: MemoryPermit) -> Self {
         Self { pages, _held: held }
     }
 }
 
 /// What answers a request.
 pub enum Answer {
-    Served(Rows),
+    Served(QueryResult),
     Overloaded(Option<Span>),
     Failed(&'static str),
     Pong(bool),
 }
 
 /// The right to answer one request, once. Dropped unused, no answer is owed any more.
-pub struct Reply {
+pub struct Responder {
     number: u32,
     give: Box<dyn FnOnce(Answer)>,
 }
 
-impl Reply {
+impl Responder {
     /// `give` owns whatever is given back once the answer is written, or owed no more.
     pub fn new(number: u32, give: impl FnOnce(Answer) + 'static) -> Self {
         Self { number, give: Box::new(give) }
     }
 
     /// The id that the client gave its request.
-    pub fn number(&self) -> u32 {
+    pub fn request_number(&self) -> u32 {
         self.number
     }
 
@@ -192,46 +192,46 @@
 }
 
 /// What this instance met.
-pub enum Note {
-    Judged { engine: String, seen: EngineCondition },
-    Ended { engine: String, of: String, outcome: Outcome },
-    Answered { engine: String },
-    Rekey(Box<Keys>),
+pub enum GossipEvent {
+    EngineJudged { engine: String, seen: EngineCondition },
+    DispatchEnded { engine: String, of: String, outcome: Outcome },
+    ProbeAnswered { engine: String },
+    KeysReloaded(Box<Keys>),
     Stopping,
 }
 
 /// The engines on the list, and when each came up.
-pub type List = Vec<(String, Moment)>;
+pub type EngineList = Vec<(String, Moment)>;
 
 /// The way to the actor.
 #[derive(Clone)]
-pub struct Notes {
-    notes: Sender<Note>,
+pub struct GossipHandle {
+    notes: Sender<GossipEvent>,
     /// Holds the latest list only.
-    lists: Sender<List>,
+    lists: Sender<EngineList>,
 }
 
 /// Notes that wait; what comes beyond is one observation less.
 const NOTES: usize = 1024;
 
-impl Notes {
+impl GossipHandle {
     /// The way to an actor, and its ends for notes and for lists.
-    pub fn new() -> (Self, Receiver<Note>, Receiver<List>) {
+    pub fn new() -> (Self, Receiver<GossipEvent>, Receiver<EngineList>) {
         let (notes, taken) = async_channel::bounded(NOTES);
         let (lists, listed) = async_channel::bounded(1);
         (Self { notes, lists }, taken, listed)
     }
 
-    pub fn tell(&self, note: Note) {
+    pub fn send(&self, note: GossipEvent) {
         let _ = self.notes.try_send(note);
     }
 
-    pub fn list(&self, list: List) {
+    pub fn send_list(&self, list: EngineList) {
         let _ = self.lists.force_send(list);
     }
 }
 
 /// A figure that a peer tells, if it can be one.
-pub fn measure(text: &str) -> Option<f64> {
+pub fn parse_measurement(text: &str) -> Option<f64> {
     text.trim().parse().ok().filter(|figure| (0.0..1e12).contains(figure))
 }
--- a/crates/router/src/faults.rs
+++ b/crates/router/src/faults.rs
@@ -10,7 +10,7 @@
 
 /// The fault of a call.
 #[derive(Debug)]
-pub enum CallFault {
+pub enum CallError {
     /// A timer of ours: no descriptor came free in time.
     NoDescriptor,
     /// A timer of ours: no connection came up in time.
@@ -28,10 +28,10 @@
     /// A connection that was up broke, or ended within an answer.
     Broken(io::Error),
     /// What came makes no sense.
-    Nonsense(&'static str),
+    Malformed(&'static str),
 }
 
-impl CallFault {
+impl CallError {
     /// The fault of a connection that could not be made. Errors that only the peer or the network between can cause are told
     /// apart; all others are of this machine.
     pub fn of_connect(error: io::Error) -> Self {
@@ -55,7 +55,7 @@
     }
 }
 
-impl fmt::Display for CallFault {
+impl fmt::Display for CallError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoDescriptor => out.write_str("no descriptor in time"),
@@ -66,9 +66,9 @@
             Self::Refused => out.write_str("connection refused"),
             Self::Unreachable(error) => write!(out, "unreachable: {error}"),
             Self::Broken(error) => write!(out, "broke: {error}"),
-            Self::Nonsense(what) => write!(out, "makes no sense: {what}"),
+            Self::Malformed(what) => write!(out, "makes no sense: {what}"),
         }
     }
 }
 
-impl std::error::Error for CallFault {}
+impl std::error::Error for CallError {}
--- a/crates/router/src/file_reads.rs
+++ b/crates/router/src/file_reads.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 
 /// Reads under way at most. What is asked for beyond them is read once, as soon as one of them ends.
-pub const MOST_READS: usize = 4;
+pub const MAX_CONCURRENT_READS: usize = 4;
 const STACK_BYTES: usize = 512 * 1024;
 
 type Outcome<T> = Result<T, String>;
@@ -31,14 +31,14 @@
 impl<T: Send + 'static> FileReads<T> {
     pub fn new(read: impl Fn() -> Outcome<T> + Send + Sync + 'static) -> Self {
         // Room for all that can be under way, so that no thread waits to tell of its end.
-        let (ended, ends) = async_channel::bounded(MOST_READS);
+        let (ended, ends) = async_channel::bounded(MAX_CONCURRENT_READS);
         Self { read: Arc::new(read), ended, ends, started: 0, taken: 0, under_way: 0, is_owed: false }
     }
 
     /// Starts one read more, now or once another has ended.
     pub fn start(&mut self) {
-        if self.under_way == MOST_READS {
-            log::warn!(event = "file_read_waits", under_way = self.under_way; "{MOST_READS} reads are under way and don't come: the next waits for one to end");
+        if self.under_way == MAX_CONCURRENT_READS {
+            log::warn!(event = "file_read_waits", under_way = self.under_way; "{MAX_CONCURRENT_READS} reads are under way and don't come: the next waits for one to end");
             self.is_owed = true;
             return;
         }
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -15,14 +15,14 @@
 use zeroize::Zeroizing;
 
 /// How long a file that is none on a disk may take to come.
-pub const COMES_WITHIN: Duration = Duration::from_secs(10);
+pub const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Between looks at a FIFO that nobody has written to yet.
 const LOOK: Duration = Duration::from_millis(20);
 const PIECE_BYTES: usize = 16 * 1024;
 
 /// Why a file could not be read.
 #[derive(Debug)]
-pub enum FileFault {
+pub enum FileError {
     Io(io::Error),
     /// It holds more than so many bytes.
     TooLong(u64),
@@ -31,7 +31,7 @@
     NotText,
 }
 
-impl fmt::Display for FileFault {
+impl fmt::Display for FileError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(error) => error.fmt(out),
@@ -42,9 +42,9 @@
     }
 }
 
-impl std::error::Error for FileFault {}
+impl std::error::Error for FileError {}
 
-impl From<io::Error> for FileFault {
+impl From<io::Error> for FileError {
     fn from(error: io::Error) -> Self {
         Self::Io(error)
     }
@@ -55,17 +55,17 @@
 
 impl InputFile {
     /// Opens it without waiting for the writer of a FIFO.
-    pub fn open(path: &Path) -> Result<Self, FileFault> {
+    pub fn open(path: &Path) -> Result<Self, FileError> {
         let flags = OFlags::NONBLOCK.bits() as i32;
         Ok(Self(OpenOptions::new().read(true).custom_flags(flags).open(path)?))
     }
 
-    pub fn metadata(&self) -> Result<Metadata, FileFault> {
+    pub fn metadata(&self) -> Result<Metadata, FileError> {
         Ok(self.0.metadata()?)
     }
 
     /// The whole text, which is wiped from memory once dropped.
-    pub fn text(mut self, most: u64, within: Duration) -> Result<Zeroizing<String>, FileFault> {
+    pub fn text(mut self, most: u64, within: Duration) -> Result<Zeroizing<String>, FileError> {
         let by = Instant::now() + within;
         // As large as the file, so that a secret leaves no copy behind in a buffer that grew.
         let size = self.metadata()?.len().min(most) as usize;
@@ -82,18 +82,18 @@
                 Err(error) => return Err(error.into()),
             }
             if bytes.len() as u64 > most {
-                return Err(FileFault::TooLong(most));
+                return Err(FileError::TooLong(most));
             }
         }
-        let text = str::from_utf8(&bytes).map_err(|_| FileFault::NotText)?;
+        let text = str::from_utf8(&bytes).map_err(|_| FileError::NotText)?;
         Ok(Zeroizing::new(text.to_owned()))
     }
 
     /// Until more may have come, or an error once the time is over.
-    fn wait(&self, by: Instant, within: Duration) -> Result<(), FileFault> {
+    fn wait(&self, by: Instant, within: Duration) -> Result<(), FileError> {
         let left = by.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(FileFault::NotInTime(within));
+            return Err(FileError::NotInTime(within));
         }
         let at_most = Timespec { tv_sec: left.as_secs() as i64, tv_nsec: left.subsec_nanos().into() };
         let mut looked = [PollFd::new(&self.0, PollFlags::IN)];
@@ -107,6 +107,6 @@
 }
 
 /// The whole text of a file.
-pub fn read_text(path: &Path, most: u64) -> Result<Zeroizing<String>, FileFault> {
-    InputFile::open(path)?.text(most, COMES_WITHIN)
+pub fn read_text(path: &Path, most: u64) -> Result<Zeroizing<String>, FileError> {
+    InputFile::open(path)?.text(most, READ_TIMEOUT)
 }
--- a/crates/router/src/frontends/rpc/connections.rs
+++ b/crates/router/src/frontends/rpc/connections.rs
@@ -8,8 +8,8 @@
 use futures_lite::FutureExt;
 use woadhook::{Moment, Span};
 
-use crate::clock::{Clock, pass};
-use crate::sockets::{Link, Waiting};
+use crate::clock::{Clock, sleep};
+use crate::sockets::{Socket, PendingInput};
 
 /// How long a request that is under way may take to come: from the start of a connection that comes as the router ends, or
 /// from its last bytes.
@@ -29,7 +29,7 @@
 /// One connection, as far as the choice of the one to close goes.
 pub struct Client {
     /// The connection belongs to its actor alone.
-    pub link: Weak<Link>,
+    pub link: Weak<Socket>,
     came: Moment,
     /// Since when nothing passed on it.
     pub quiet_since: Cell<Moment>,
@@ -46,7 +46,7 @@
     /// Whether it can be closed now: a request that waits in the socket would be lost, as only one that crosses the close
     /// is sent again, and so would one that is coming in. To be looked at right before the close, with nothing between.
     pub fn may_go(&self, now: Moment) -> bool {
-        let unread = |link: Rc<Link>| matches!(link.waiting(), Waiting::Bytes);
+        let unread = |link: Rc<Socket>| matches!(link.peek(), PendingInput::Bytes);
         let coming = self.midway.get() && now.since(self.quiet_since.get()) < GREETING;
         self.open.get() == 0 && !coming && !self.link.upgrade().is_some_and(unread)
     }
@@ -78,7 +78,7 @@
                 return;
             }
             self.peer.told_to_leave.set(false);
-            if ending && left > Span::ZERO { changed.or(pass(left)).await } else { changed.await }
+            if ending && left > Span::ZERO { changed.or(sleep(left)).await } else { changed.await }
         }
     }
 }
@@ -90,7 +90,7 @@
 }
 
 impl Connections {
-    pub fn enter(&self, client: u64, link: &Rc<Link>, now: Moment) -> Registration {
+    pub fn enter(&self, client: u64, link: &Rc<Socket>, now: Moment) -> Registration {
         let peer = Rc::new(Client {
             link: Rc::downgrade(link),
             came: now,
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -15,15 +15,15 @@
 use woadhook_pace::rate::{Least, Watch};
 use woadhook_pace::turns::Turn;
 
-use crate::arrivals::{Arrivals, Rounds};
-use crate::clock::{Clock, pass};
-use crate::exchange::{Answer, Event, MALFORMED, Reply, Statement, Wanted};
+use crate::arrivals::{ArrivalTimes, LoopTicks};
+use crate::clock::{Clock, sleep};
+use crate::exchange::{Answer, Event, MALFORMED, Responder, Statement, WaitingClient};
 use crate::frontends::rpc::codec::{self, Malformed, Scan};
 use crate::frontends::rpc::connections::{Client, Registration};
 use crate::frontends::rpc::request::Range;
 use crate::guards::{Guards, Refusal, Step};
-use crate::memory::{Held, Holder, Room};
-use crate::sockets::{Link, Waiting, WriteFault, read_once, within, write_at_rate};
+use crate::memory::{MemoryPermit, Holder, MemoryBudget};
+use crate::sockets::{Socket, PendingInput, WriteError, read_once, with_timeout, write_at_min_rate};
 use crate::tasks::Tasks;
 
 /// The most open requests of a connection, and some whose withdrawal is on its way.
@@ -58,8 +58,8 @@
     pub module: Sender<Event>,
     pub range: Rc<Range>,
     /// For statements with their jobs, and for messages on their way in.
-    pub room: Room,
-    pub messages: Room,
+    pub room: MemoryBudget,
+    pub messages: MemoryBudget,
     /// What a client is told that is turned away here.
     pub come_back: Option<Span>,
     /// How many answers are owed on all connections.
@@ -69,7 +69,7 @@
     pub takes: Least,
     /// Bytes that a connection may read or write before the others' turn.
     pub turn: usize,
-    pub rounds: Rounds,
+    pub loop_ticks: LoopTicks,
     pub guards: Guards,
 }
 
@@ -115,7 +115,7 @@
 /// Serves one connection, which came after such a moment, until either side ends it or its place is needed, then withdraws its
 /// jobs.
 pub async fn serve(
-    link: Rc<Link>, client: u64, registration: Registration, came: Moment, context: FrontendContext,
+    link: Rc<Socket>, client: u64, registration: Registration, came: Moment, context: FrontendContext,
 ) {
     let gone = Rc::new(Cell::new(false));
     let leave = Leave { client, gone: gone.clone(), module: context.module.clone(), tasks: context.tasks };
@@ -135,7 +135,7 @@
         outbox,
         peer: own,
         last: Cell::new(0),
-        arrivals: Arrivals::since(came, clock, context.rounds.clone()),
+        arrivals: ArrivalTimes::new(came, clock, context.loop_ticks.clone()),
         credit: Cell::new((BURST, clock.now())),
         asked,
         gone,
@@ -156,10 +156,10 @@
     let written = async {
         match write(&link, answers, &peer, clock, takes, turn).await {
             Ok(()) => {}
-            Err(WriteFault::TooSlow(figures)) => {
+            Err(WriteError::TooSlow(figures)) => {
                 log::debug!(event = "client_too_slow", client; "client {client}: took {figures}");
             }
-            Err(WriteFault::Broken(error)) => {
+            Err(WriteError::Broken(error)) => {
                 log::debug!(event = "client_ended", client; "client {client}: {error}");
             }
         }
@@ -167,14 +167,14 @@
     let sent_off = async {
         registration.over(clock).await;
         if peer.open.get() > 0 {
-            guards.violated(Step::Close, Refusal::AnswerOwed, &format!("of client {client}"));
+            guards.record_violation(Step::Close, Refusal::AnswerOwed, &format!("of client {client}"));
         }
     };
     read.or(written).or(sent_off).await;
     // With nothing unread and no answer under way, a plain close says the same at once, for whoever needs the place.
     let rested = clock.now().since(peer.quiet_since.get()) >= PARTING;
-    if !rested || matches!(link.waiting(), Waiting::Bytes) {
-        link.part(PARTING).await;
+    if !rested || matches!(link.peek(), PendingInput::Bytes) {
+        link.close_gracefully(PARTING).await;
     }
 }
 
@@ -241,27 +241,27 @@
     fn drop(&mut self) {
         self.gone.set(true);
         let (module, client) = (self.module.clone(), self.client);
-        self.tasks.start(async move {
+        self.tasks.spawn(async move {
             let _ = module.send(Event::ClientGone { client }).await;
         });
     }
 }
 
 async fn write(
-    link: &Link, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: Least, mut turn: Turn,
-) -> Result<(), WriteFault> {
+    link: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: Least, mut turn: Turn,
+) -> Result<(), WriteError> {
     let (mut head, mut tail) = (Vec::new(), Vec::new());
     while let Ok(outgoing) = answers.recv().await {
         let Outgoing { number, answer, _owed } = *outgoing;
         head.clear();
         tail.clear();
-        codec::write(number, &answer, &mut head, &mut tail).map_err(WriteFault::Broken)?;
+        codec::write(number, &answer, &mut head, &mut tail).map_err(WriteError::Broken)?;
         let pages = if let Answer::Served(rows) = &answer { rows.pages.as_slice() } else { &[] };
         let mut parts = Vec::with_capacity(pages.len() + 2);
         parts.push(head.as_slice());
         parts.extend(pages.iter().map(Vec::as_slice));
         parts.push(&tail);
-        write_at_rate(&link.stream, &parts, clock, takes).await?;
+        write_at_min_rate(&link.stream, &parts, clock, takes).await?;
         peer.quiet_since.set(clock.now());
         rest(&mut turn, parts.iter().map(|part| part.len()).sum()).await;
     }
@@ -289,7 +289,7 @@
     peer: Rc<Client>,
     /// The number of the last request: they rise, so that no two answers can be mistaken.
     last: Cell<u32>,
-    arrivals: Arrivals,
+    arrivals: ArrivalTimes,
     /// How many answers of the door are left at once, and since when that holds.
     credit: Cell<(f64, Moment)>,
     asked: Asked,
@@ -299,15 +299,15 @@
 
 impl Reader {
     /// Waits until all that was asked for is answered, or the client is gone.
-    async fn answered(&self, link: &Link) {
-        while self.peer.open.get() > 0 && !link.is_left() {
-            pass(GLANCE).await;
+    async fn answered(&self, link: &Socket) {
+        while self.peer.open.get() > 0 && !link.is_closed_by_peer() {
+            sleep(GLANCE).await;
         }
     }
 
-    async fn read(&self, link: &Link) -> Result<(), End> {
+    async fn read(&self, link: &Socket) -> Result<(), End> {
         let (mut buffer, mut filled) = (vec![0; READ_BYTES], 0);
-        let mut room: Option<Held> = None;
+        let mut room: Option<MemoryPermit> = None;
         let (mut scan, mut scanned) = (Scan::default(), 0);
         // Until when the message under way is to be whole; the first is under way from the start.
         let mut due = Some(self.context.clock.now() + MESSAGE_WITHIN);
@@ -328,7 +328,7 @@
             if filled == buffer.len() {
                 // Threat: many clients with long messages. Those that find no room are closed when theirs is
                 // due.
-                let more = within(MESSAGE_WITHIN, self.context.messages.take(self.holder, filled * 2)).await;
+                let more = with_timeout(MESSAGE_WITHIN, self.context.messages.acquire(self.holder, filled * 2)).await;
                 room = Some(more.ok_or(End::NoRoom)?);
                 buffer.resize(filled * 2, 0);
             } else if filled == 0 && room.take().is_some() {
@@ -360,7 +360,7 @@
     }
 
     /// Waits as a client is to that has had so many more answers of the door; whether it is still there.
-    async fn pace(&self, link: &Link, turned_away: usize) -> bool {
+    async fn pace(&self, link: &Socket, turned_away: usize) -> bool {
         let (left, since) = self.credit.get();
         let now = self.context.clock.now();
         let earned = now.since(since).secs() / PACE.secs();
@@ -368,8 +368,8 @@
         self.credit.set((left, now));
         let until = now + PACE.mul_f64(-left);
         while turned_away > 0 && self.context.clock.now() < until {
-            pass(until.since(self.context.clock.now()).min(GLANCE)).await;
-            if link.is_left() {
+            sleep(until.since(self.context.clock.now()).min(GLANCE)).await;
+            if link.is_closed_by_peer() {
                 return false;
             }
         }
@@ -386,14 +386,14 @@
     /// awaits an answer is closed between messages.
     /// Nothing where it is too slow at a message.
     async fn read_some(
-        &self, link: &Link, buffer: &mut [u8], due: Option<Moment>,
+        &self, link: &Socket, buffer: &mut [u8], due: Option<Moment>,
     ) -> Result<Option<io::Result<usize>>, End> {
         let clock = self.context.clock;
         loop {
             let until = due.unwrap_or_else(|| self.peer.quiet_since.get() + IDLE);
             let left = until.since(clock.now());
             // What stands there unread, as reads are interrupted, came in time.
-            let has_come = matches!(link.waiting(), Waiting::Bytes);
+            let has_come = matches!(link.peek(), PendingInput::Bytes);
             if left == Span::ZERO && self.peer.midway.get() && !has_come {
                 return Ok(None);
             }
@@ -401,8 +401,8 @@
                 return Err(End::Idle);
             }
             let left = if left == Span::ZERO { IDLE } else { left };
-            let taken = self.arrivals.taking(async || read_once(&link.stream, buffer).await);
-            if let Some(count) = within(left, taken).await {
+            let taken = self.arrivals.receive(async || read_once(&link.stream, buffer).await);
+            if let Some(count) = with_timeout(left, taken).await {
                 return Ok(Some(count));
             }
         }
@@ -419,14 +419,14 @@
 
     /// Takes in one whole message, and returns how many it answered by itself.
     async fn take(&self, mut message: &[u8]) -> Result<usize, End> {
-        let (arrived, message) = (self.arrivals.counts_from(), &mut message);
+        let (arrived, message) = (self.arrivals.request_start(), &mut message);
         let parts = codec::array(message)?;
         match (codec::number(message)?, parts) {
             (codec::REQUEST, 4) => {
                 let number = codec::number(message)?;
                 let method = codec::text(message);
                 if let Ok("ping") = method {
-                    let _ = self.context.module.send(Event::Ping { reply: self.aside(number).await }).await;
+                    let _ = self.context.module.send(Event::Ping { responder: self.aside(number).await }).await;
                     return Ok(1);
                 }
                 if number <= self.last.replace(number) {
@@ -444,7 +444,7 @@
                 if codec::text(message)? == "abort" && codec::array(message)? > 0 {
                     let number = codec::number(message)?;
                     if let Some(statement) = self.asked.borrow().get(&number) {
-                        statement.wanted.take_back();
+                        statement.client.withdraw();
                     }
                     let _ = self.context.module.send(Event::Withdrawn { client: self.client, number }).await;
                 }
@@ -456,18 +456,18 @@
 
     /// The right to an answer that the door gives at once. Waits where the client takes none: it is held
     /// back.
-    async fn aside(&self, number: u32) -> Reply {
+    async fn aside(&self, number: u32) -> Responder {
         let place = self.aside.acquire_arc().await;
         self.reply(number, place, None)
     }
 
-    fn reply(&self, number: u32, place: SemaphoreGuardArc, awaited: Option<Awaited>) -> Reply {
+    fn reply(&self, number: u32, place: SemaphoreGuardArc, awaited: Option<Awaited>) -> Responder {
         let (peer, owing) = (self.peer.clone(), self.context.owing.clone());
         owing.set(owing.get() + 1);
         peer.open.set(peer.open.get() + 1);
         let (owed, outbox) = (Owed { _place: place, owing, peer }, self.outbox.clone());
         // The outbox has a place for each reply; where the connection is gone, nobody is answered.
-        Reply::new(number, move |answer| {
+        Responder::new(number, move |answer| {
             drop(awaited);
             let _ = outbox.try_send(Box::new(Outgoing { number, answer, _owed: owed }));
         })
@@ -481,33 +481,33 @@
         let asked = self.context.range.request(method, message).map_err(malformed)?;
         let full = || Answer::Overloaded(self.context.come_back);
         let place = self.places.try_acquire_arc().ok_or_else(full)?;
-        let held = self.context.room.try_take(self.holder, asked.text.len() + JOB_BYTES).ok_or_else(full)?;
+        let held = self.context.room.try_acquire(self.holder, asked.text.len() + JOB_BYTES).ok_or_else(full)?;
         // The connection itself belongs to its actor alone.
         let (link, gone) = (self.peer.link.clone(), self.gone.clone());
-        let connected = move || !gone.get() && link.upgrade().is_some_and(|link| !link.is_left());
+        let connected = move || !gone.get() && link.upgrade().is_some_and(|link| !link.is_closed_by_peer());
         let statement = Rc::new(Statement {
             holder: self.holder,
             id: asked.id.into(),
             class: method.into(),
-            key: asked.key.map(str::to_owned),
-            once: asked.once.map(str::to_owned),
+            order_key: asked.key.map(str::to_owned),
+            idempotency_key: asked.once.map(str::to_owned),
             text: asked.text.into(),
-            held,
-            wanted: Wanted::new(connected),
+            memory: held,
+            client: WaitingClient::new(connected),
         });
         self.asked.borrow_mut().insert(number, statement.clone());
         let awaited = Awaited { asked: self.asked.clone(), number };
-        let arrival = Event::Arrived {
+        let arrival = Event::JobArrived {
             client: self.client,
             statement,
             kind: asked.kind,
             group: asked.group,
             tenant: asked.tenant.map(str::to_owned),
-            key: asked.key.map(str::to_owned),
-            told: asked.told,
+            order_key: asked.key.map(str::to_owned),
+            stated_work: asked.told,
             memory: asked.memory,
             deadline: arrived + asked.wait,
-            reply: self.reply(number, place, Some(awaited)),
+            responder: self.reply(number, place, Some(awaited)),
         };
         let _ = self.context.module.send(arrival).await;
         Ok(())
--- a/crates/router/src/frontends/rpc/listen.rs
+++ b/crates/router/src/frontends/rpc/listen.rs
@@ -13,12 +13,12 @@
 use socket2::SockRef;
 use woadhook::Span;
 
-use crate::arrivals::Arrivals;
-use crate::clock::{Clock, pass};
+use crate::arrivals::ArrivalTimes;
+use crate::clock::{Clock, sleep};
 use crate::frontends::rpc::connections::Connections;
 use crate::frontends::rpc::front::{self, FrontendContext};
 use crate::interrupted_calls;
-use crate::sockets::{Link, is_readable, within};
+use crate::sockets::{Socket, is_readable, with_timeout};
 
 /// After an accept that failed for this machine's sake, as when descriptors run out beyond this process, and between looks for a place.
 const PAUSE: Span = Span::from_micros(20_000);
@@ -37,21 +37,21 @@
     }
 
     /// The next connection. Threat: many that are aborted before they are taken in, each of which would keep the next client waiting.
-    async fn next(&self, arrivals: &Arrivals) -> Async<TcpStream> {
+    async fn next(&self, arrivals: &ArrivalTimes) -> Async<TcpStream> {
         let mut aborted = 0;
         loop {
-            match arrivals.taking(async || self.accept_once().await).await {
+            match arrivals.receive(async || self.accept_once().await).await {
                 Ok(stream) => return stream,
                 Err(error) if is_of_one_connection(&error) => {
                     log::debug!(event = "connection_aborted"; "accept: {error}");
                     aborted += 1;
-                    if aborted % interrupted_calls::TRIES == 0 {
-                        pass(interrupted_calls::PAUSE).await;
+                    if aborted % interrupted_calls::MAX_IMMEDIATE_TRIES == 0 {
+                        sleep(interrupted_calls::RETRY_PAUSE).await;
                     }
                 }
                 Err(error) => {
                     log::warn!("accept: {error}");
-                    pass(PAUSE).await;
+                    sleep(PAUSE).await;
                 }
             }
         }
@@ -94,7 +94,7 @@
 pub async fn accept(
     intake: Intake, part: Arc<Semaphore>, clock: Clock, connections: Connections, context: FrontendContext,
 ) {
-    let arrivals = Arrivals::since(clock.now(), clock, context.rounds.clone());
+    let arrivals = ArrivalTimes::new(clock.now(), clock, context.loop_ticks.clone());
     for client in 0.. {
         let stream = intake.next(&arrivals).await;
         intake.holds_one.set(true);
@@ -103,14 +103,14 @@
                 break permit;
             }
             connections.send_off_one(clock.now());
-            if let Some(permit) = within(PAUSE, part.acquire_arc()).await {
+            if let Some(permit) = with_timeout(PAUSE, part.acquire_arc()).await {
                 break permit;
             }
         };
-        let link = Rc::new(Link::accepted(stream, permit));
+        let link = Rc::new(Socket::accepted(stream, permit));
         let registration = connections.enter(client, &link, clock.now());
         intake.holds_one.set(false);
-        context.tasks.start(front::serve(link, client, registration, arrivals.came(), context.clone()));
+        context.tasks.spawn(front::serve(link, client, registration, arrivals.earliest_arrival(), context.clone()));
         // Those taken in before are heard first.
         yield_now().await;
     }
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -13,8 +13,8 @@
 use woadhook_operator::Section;
 
 use crate::agreement::{self, Agreement};
-use crate::clock::{Clock, pass};
-use crate::exchange::{Event, List, Note, Notes};
+use crate::clock::{Clock, sleep};
+use crate::exchange::{Event, EngineList, GossipEvent, GossipHandle};
 use crate::keyfiles::Keys;
 use crate::tasks::Tasks;
 
@@ -25,18 +25,18 @@
 const PAUSE: Span = Span::from_micros(20_000);
 
 /// All that is needed to begin.
-pub struct Talk {
+pub struct GossipSetup {
     pub socket: UdpSocket,
     pub keys: Keys,
     /// Where others send to.
-    pub address: SocketAddr,
+    pub advertised_address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub pace: GossipConfig,
     /// Of what a few voters agree on, where the operator's order names any.
     pub accord: woadhook_accord::AccordConfig,
 }
 
-impl Talk {
+impl GossipSetup {
     /// Opens the socket; `accord` is the section of the agreement.
     pub fn open(section: Section<'_>, accord: Section<'_>, keys: Keys) -> Result<Self> {
         let listen = section.address("listen").ok_or("gossip.listen: no address")?;
@@ -45,7 +45,7 @@
         Ok(Self {
             socket,
             keys,
-            address: section.address("advertise").unwrap_or(bound),
+            advertised_address: section.address("advertise").unwrap_or(bound),
             seeds: section.address_list("seeds"),
             pace: pace(section),
             accord: agreement(accord)?,
@@ -73,8 +73,8 @@
 }
 
 /// Starts the actor; what it hears reaches the module.
-pub fn start(talk: Talk, clock: Clock, seed: u64, tasks: Tasks, module: Sender<Event>) -> Result<Notes> {
-    let Talk { socket, keys: Keys { identity, ring, order }, address, seeds, pace, accord } = talk;
+pub fn start(talk: GossipSetup, clock: Clock, seed: u64, tasks: Tasks, module: Sender<Event>) -> Result<GossipHandle> {
+    let GossipSetup { socket, keys: Keys { identity, ring, order }, advertised_address: address, seeds, pace, accord } = talk;
     let socket = Async::new(socket).map_err(|error| format!("gossip: {error}"))?;
     log::info!(event = "gossip_started", member = identity.name(), address:% = address; "talking with other instances");
     // Apart from the module's own draws.
@@ -84,39 +84,39 @@
     if let Some(order) = order {
         core.accept_voter_set(order);
     }
-    let (notes, taken, listed) = Notes::new();
-    tasks.start(run(core, agreement, socket, clock, taken, listed, module));
+    let (notes, taken, listed) = GossipHandle::new();
+    tasks.spawn(run(core, agreement, socket, clock, taken, listed, module));
     Ok(notes)
 }
 
 enum Heard {
     Datagram(io::Result<(usize, SocketAddr)>),
-    Note(Note),
-    List(List),
+    Note(GossipEvent),
+    List(EngineList),
     Due,
     Ended,
 }
 
 async fn run(
     mut core: Gossip, mut agreement: Agreement, socket: Async<UdpSocket>, clock: Clock,
-    notes: Receiver<Note>, lists: Receiver<List>, module: Sender<Event>,
+    notes: Receiver<GossipEvent>, lists: Receiver<EngineList>, module: Sender<Event>,
 ) {
     // One byte more than allowed, so that what is too long shows.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         loop {
             let now = clock.now();
-            agreement.pull(now, &mut core);
+            agreement.run_actions(now, &mut core);
             let Some(to_do) = core.next_action(now) else { break };
             carry_out(to_do, now, &mut agreement, &socket, &module);
         }
-        let due = [core.next_deadline(), agreement.due()].into_iter().flatten().min();
+        let due = [core.next_deadline(), agreement.next_deadline()].into_iter().flatten().min();
         let datagram = async { Heard::Datagram(socket.recv_from(&mut buffer).await) };
         let note = async { notes.recv().await.map_or(Heard::Ended, Heard::Note) };
         let list = async { lists.recv().await.map_or(Heard::Ended, Heard::List) };
         let timer = async {
             match due {
-                Some(moment) => clock.until(moment).await,
+                Some(moment) => clock.sleep_until(moment).await,
                 None => future::pending().await,
             }
             Heard::Due
@@ -133,7 +133,7 @@
                 future::yield_now().await;
             }
             // Such an error may last, and must not hold the thread; members find out by their pings.
-            Heard::Datagram(Err(_)) => pass(PAUSE).await,
+            Heard::Datagram(Err(_)) => sleep(PAUSE).await,
             Heard::Note(note) => take_in(&mut core, now, note),
             Heard::List(list) => core.set_engines(&list),
             Heard::Due => {}
@@ -142,12 +142,12 @@
     }
 }
 
-fn take_in(core: &mut Gossip, now: Moment, note: Note) {
+fn take_in(core: &mut Gossip, now: Moment, note: GossipEvent) {
     match note {
-        Note::Judged { engine, seen } => core.engine_judged(now, &engine, seen),
-        Note::Ended { engine, of, outcome } => core.dispatch_ended(now, &engine, &of, outcome),
-        Note::Answered { engine } => core.probe_answered(now, &engine),
-        Note::Rekey(keys) => {
+        GossipEvent::EngineJudged { engine, seen } => core.engine_judged(now, &engine, seen),
+        GossipEvent::DispatchEnded { engine, of, outcome } => core.dispatch_ended(now, &engine, &of, outcome),
+        GossipEvent::ProbeAnswered { engine } => core.probe_answered(now, &engine),
+        GossipEvent::KeysReloaded(keys) => {
             let Keys { identity, ring, order } = *keys;
             log::info!(event = "gossip_rekeyed", member = identity.name(); "keys were read again");
             core.rekey(now, identity, ring);
@@ -155,7 +155,7 @@
                 core.accept_voter_set(order);
             }
         }
-        Note::Stopping => core.leave(now),
+        GossipEvent::Stopping => core.leave(now),
     }
 }
 
@@ -163,15 +163,15 @@
     to_do: Action, now: Moment, agreement: &mut Agreement, socket: &Async<UdpSocket>, module: &Sender<Event>,
 ) {
     match to_do {
-        Action::VoterSet { epoch, voters } => agreement.ordered(now, epoch, &voters),
-        Action::DirectMessage { from, bytes } => agreement.heard(now, from, &bytes),
-        Action::Notice { from, subject, payload } => agreement.noticed(now, from, subject, &payload),
+        Action::VoterSet { epoch, voters } => agreement.apply_voter_set(now, epoch, &voters),
+        Action::DirectMessage { from, bytes } => agreement.receive(now, from, &bytes),
+        Action::Notice { from, subject, payload } => agreement.receive_notice(now, from, subject, &payload),
         // What the socket does not take now is lost, as on any network.
         Action::Send { to, bytes } => {
             let _ = socket.get_ref().send_to(&bytes, to);
         }
         Action::PeerReport { engine, reservation_type: of, suspicion: doubt } => {
-            let _ = module.try_send(Event::Hearsay { engine, of, doubt });
+            let _ = module.try_send(Event::PeerReport { engine, reservation_type: of, suspicion: doubt });
         }
         Action::Event { kind, member, engine, condition } => {
             let (member, engine) = (member.unwrap_or_default(), engine.unwrap_or_default());
--- a/crates/router/src/guards.rs
+++ b/crates/router/src/guards.rs
@@ -51,27 +51,27 @@
 }
 
 /// What has to hold right before the first byte of a query.
-pub struct Sending {
+pub struct SendConditions {
     pub now: Moment,
-    pub engine_open: bool,
-    pub until: Moment,
-    pub repeat_before: Option<Moment>,
-    pub called_off: bool,
+    pub is_engine_open: bool,
+    pub deadline: Moment,
+    pub repeat_deadline: Option<Moment>,
+    pub is_called_off: bool,
 }
 
-impl Sending {
+impl SendConditions {
     /// All but the client, who is looked at on the wire.
     pub fn check(&self) -> Result<(), Refusal> {
-        if !self.engine_open {
+        if !self.is_engine_open {
             return Err(Refusal::EngineNotOpen);
         }
-        if self.now >= self.until {
+        if self.now >= self.deadline {
             return Err(Refusal::TimeOver);
         }
-        if self.repeat_before.is_some_and(|before| self.now >= before) {
+        if self.repeat_deadline.is_some_and(|before| self.now >= before) {
             return Err(Refusal::RepeatTooLate);
         }
-        if self.called_off {
+        if self.is_called_off {
             return Err(Refusal::CalledOff);
         }
         Ok(())
@@ -124,13 +124,13 @@
 
 impl Guards {
     /// Notes a step that a guard refused, of a request if it has one.
-    pub fn refused(&self, step: Step, why: Refusal, request: &str) {
+    pub fn record_refusal(&self, step: Step, why: Refusal, request: &str) {
         *self.0.refused.borrow_mut().entry((step, why)).or_default() += 1;
         log::debug!(event = "step_refused", step:? = step, why:? = why, job = request; "{step:?} refused: {why:?}");
     }
 
     /// Notes a step that was taken, or was about to be, past its guard.
-    pub fn violated(&self, step: Step, why: Refusal, request: &str) {
+    pub fn record_violation(&self, step: Step, why: Refusal, request: &str) {
         self.0.violations.set(self.0.violations.get() + 1);
         log::error!(event = "violation", step:? = step, why:? = why, job = request; "violation: {step:?} in spite of {why:?}");
     }
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -10,59 +10,59 @@
 use woadhook_pace::rate::{Least, Watch};
 
 use crate::clock::Clock;
-use crate::faults::CallFault;
-use crate::sockets::{FirstByte, Link, Progress, Waiting, read, write_gathered};
+use crate::faults::CallError;
+use crate::sockets::{FirstByte, Socket, Progress, PendingInput, read, write_gathered};
 
 const HEAD_BYTES: usize = 4 * 1024;
 const HEAD_FIELDS: usize = 48;
 const READ_BYTES: usize = 4 * 1024;
-type Result<T> = std::result::Result<T, CallFault>;
+type Result<T> = std::result::Result<T, CallError>;
 
 /// Answers of the 1xx kind that one answer may follow.
 const INTERIM: usize = 8;
 
 /// What of the answer under way has come, for whoever waits for it.
 #[derive(Clone, Default)]
-pub struct Flow(Rc<Cell<Option<Came>>>);
+pub struct ResponseProgress(Rc<Cell<Option<Received>>>);
 
 /// The first byte of an answer and all since.
 #[derive(Clone, Copy)]
-pub struct Came {
-    pub first: Moment,
-    pub last: Moment,
+pub struct Received {
+    pub first_byte_at: Moment,
+    pub last_byte_at: Moment,
     pub bytes: usize,
     watch: Watch,
 }
 
-impl Came {
+impl Received {
     /// When it has been too slow, if nothing more comes.
     pub fn due(&self) -> Moment {
         self.watch.due()
     }
 }
 
-impl Flow {
+impl ResponseProgress {
     fn moved(&self, clock: Clock, least: Least, bytes: usize) {
         let now = clock.now();
-        let new = Came { first: now, last: now, bytes: 0, watch: Watch::start(now, least) };
+        let new = Received { first_byte_at: now, last_byte_at: now, bytes: 0, watch: Watch::start(now, least) };
         let mut came = self.0.get().unwrap_or(new);
         came.watch.moved(now, bytes);
-        (came.last, came.bytes) = (now, came.bytes + bytes);
+        (came.last_byte_at, came.bytes) = (now, came.bytes + bytes);
         self.0.set(Some(came));
     }
 
     /// Nothing, before the first byte.
-    pub fn came(&self) -> Option<Came> {
+    pub fn received(&self) -> Option<Received> {
         self.0.get()
     }
 }
 
 /// A connection that calls one peer.
 pub struct Connection {
-    pub link: Link,
-    pub flow: Flow,
-    /// The slowest that answers may come, as far as [`Flow`] tells of it.
-    pub least: Least,
+    pub socket: Socket,
+    pub response_progress: ResponseProgress,
+    /// The slowest that answers may come, as far as [`ResponseProgress`] tells of it.
+    pub min_rate: Least,
     clock: Clock,
     /// What was read and not used yet; empty and without memory between calls.
     buffer: Vec<u8>,
@@ -87,12 +87,12 @@
 }
 
 impl Connection {
-    pub fn new(link: Link, clock: Clock) -> Self {
+    pub fn new(link: Socket, clock: Clock) -> Self {
         let least = Least { rate: 0.0, grace: Span::ZERO };
         Self {
-            link,
-            flow: Flow::default(),
-            least,
+            socket: link,
+            response_progress: ResponseProgress::default(),
+            min_rate: least,
             clock,
             buffer: Vec::new(),
             reusable: true,
@@ -102,7 +102,7 @@
 
     /// Whether another call can be made over it: all of the last one was read, and nothing came since.
     pub fn is_ready(&self) -> bool {
-        self.reusable && self.link.is_quiet()
+        self.reusable && self.socket.is_quiet()
     }
 
     /// Makes one call and returns the status and the body of its answer, of at most `most` bytes; `field`
@@ -113,15 +113,15 @@
         mut field: impl FnMut(&str, &str),
     ) -> Result<(u16, Vec<u8>)> {
         self.reusable = false;
-        self.flow.0.set(None);
+        self.response_progress.0.set(None);
         let parts = [head.as_bytes(), body];
         let progress = |progress| {
             if let Progress::Written(bytes) = progress {
                 wrote(bytes);
             }
         };
-        let written = write_gathered(&self.link.stream, &parts, FirstByte::AtOnce, progress).await;
-        written.map_err(CallFault::of_write)?;
+        let written = write_gathered(&self.socket.stream, &parts, FirstByte::AtOnce, progress).await;
+        written.map_err(CallError::of_write)?;
         let mut interim = 0;
         let head = loop {
             match parse(&self.buffer, &mut field)? {
@@ -141,21 +141,21 @@
             Body::Length(length) => self.take(length).await?,
             Body::Chunked => self.chunks(most).await?,
         };
-        let ended = self.link.waiting();
-        if !self.buffer.is_empty() || matches!(ended, Waiting::Bytes) {
+        let ended = self.socket.peek();
+        if !self.buffer.is_empty() || matches!(ended, PendingInput::Bytes) {
             return Err(broken("more than the answer"));
         }
         self.buffer = Vec::new();
-        self.reusable = head.kept && matches!(ended, Waiting::Nothing);
+        self.reusable = head.kept && matches!(ended, PendingInput::Nothing);
         Ok((head.status, body))
     }
 
     async fn read_more(&mut self) -> Result<()> {
         let filled = self.buffer.len();
         self.buffer.resize(filled + READ_BYTES, 0);
-        let count = some_of(&self.link, &mut self.buffer[filled..]).await;
+        let count = some_of(&self.socket, &mut self.buffer[filled..]).await;
         self.buffer.truncate(filled + count.as_ref().copied().unwrap_or(0));
-        self.flow.moved(self.clock, self.least, count?);
+        self.response_progress.moved(self.clock, self.min_rate, count?);
         Ok(())
     }
 
@@ -167,9 +167,9 @@
         taken.resize(length, 0);
         let mut filled = here;
         while filled < length {
-            let count = some_of(&self.link, &mut taken[filled..]).await?;
+            let count = some_of(&self.socket, &mut taken[filled..]).await?;
             filled += count;
-            self.flow.moved(self.clock, self.least, count);
+            self.response_progress.moved(self.clock, self.min_rate, count);
         }
         Ok(taken)
     }
@@ -240,19 +240,19 @@
 }
 
 /// At least one byte; the peer's end of the connection is a break here.
-async fn some_of(link: &Link, buffer: &mut [u8]) -> Result<usize> {
+async fn some_of(link: &Socket, buffer: &mut [u8]) -> Result<usize> {
     match read(&link.stream, buffer).await {
-        Ok(0) => Err(CallFault::Broken(io::ErrorKind::UnexpectedEof.into())),
-        count => count.map_err(CallFault::Broken),
+        Ok(0) => Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into())),
+        count => count.map_err(CallError::Broken),
     }
 }
 
-fn broken(what: &'static str) -> CallFault {
-    CallFault::Nonsense(what)
+fn broken(what: &'static str) -> CallError {
+    CallError::Malformed(what)
 }
 
 /// The head of a call.
-pub fn head(method: &str, path: &str, to: SocketAddr, fields: &[(&str, &str)], length: usize) -> String {
+pub fn request_head(method: &str, path: &str, to: SocketAddr, fields: &[(&str, &str)], length: usize) -> String {
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {to}\r\n");
     for (name, value) in fields {
         head.extend([name, ": ", value, "\r\n"]);
--- a/crates/router/src/interrupted_calls.rs
+++ b/crates/router/src/interrupted_calls.rs
@@ -5,12 +5,12 @@
 
 use woadhook::Span;
 
-use crate::clock::pass;
+use crate::clock::sleep;
 
 /// Calls in a row without a pause.
-pub const TRIES: usize = 4;
+pub const MAX_IMMEDIATE_TRIES: usize = 4;
 /// Between rounds of tries.
-pub const PAUSE: Span = Span::from_micros(1_000);
+pub const RETRY_PAUSE: Span = Span::from_micros(1_000);
 
 /// Whether a signal interrupted the call, which did nothing then.
 pub fn is_interrupted(error: &io::Error) -> bool {
@@ -20,7 +20,7 @@
 /// The outcome of a call that can't be paused; where each of a few tries is interrupted, that.
 pub fn retried_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut outcome = call();
-    for _ in 1..TRIES {
+    for _ in 1..MAX_IMMEDIATE_TRIES {
         if !outcome.as_ref().is_err_and(is_interrupted) {
             break;
         }
@@ -33,12 +33,12 @@
 /// carries; and an interrupted read would pass for the end of its connection.
 pub async fn retried<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_IMMEDIATE_TRIES {
             match call().await {
                 Err(error) if is_interrupted(&error) => {}
                 outcome => return outcome,
             }
         }
-        pass(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/router/src/keyfiles.rs
+++ b/crates/router/src/keyfiles.rs
@@ -10,7 +10,7 @@
 use woadhook_operator::Section;
 use zeroize::Zeroizing;
 
-use crate::files::{COMES_WITHIN, InputFile};
+use crate::files::{READ_TIMEOUT, InputFile};
 
 /// No key file holds more; a list of revocations holds up to `LIST_BYTES`.
 const FILE_BYTES: u64 = 4 * 1024;
@@ -29,24 +29,24 @@
     if about.len() > most {
         return Err(format!("{shown}: {} bytes, allowed are {most}", about.len()));
     }
-    file.text(most, COMES_WITHIN).map_err(|error| format!("{shown}: {error}"))
+    file.text(most, READ_TIMEOUT).map_err(|error| format!("{shown}: {error}"))
 }
 
-pub fn secret(path: &Path) -> Result<SecretKey, String> {
+pub fn read_secret(path: &Path) -> Result<SecretKey, String> {
     let text = text(path, FILE_BYTES, true)?;
     SecretKey::from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-pub fn pass(path: &Path) -> Result<Pass, String> {
+pub fn read_pass(path: &Path) -> Result<Pass, String> {
     Pass::from_text(&text(path, FILE_BYTES, false)?).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-pub fn revocations(path: &Path) -> Result<Vec<Revocation>, String> {
+pub fn read_revocations(path: &Path) -> Result<Vec<Revocation>, String> {
     let text = text(path, LIST_BYTES, false)?;
     Revocation::list_from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-pub fn order(path: &Path) -> Result<VoterSet, String> {
+pub fn read_order(path: &Path) -> Result<VoterSet, String> {
     VoterSet::from_text(&text(path, FILE_BYTES, false)?).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
@@ -93,11 +93,11 @@
         }
         let mut ring = TrustStore::new(ClusterId::from_name(section.text("cluster")), operators);
         if let Some(path) = section.file_path("revoked") {
-            for revocation in revocations(&path)? {
+            for revocation in read_revocations(&path)? {
                 ring.revoke(&revocation, now);
             }
         }
-        let order = section.file_path("order").map(|path| (order(&path), path));
+        let order = section.file_path("order").map(|path| (read_order(&path), path));
         let order = order.map(|(order, path)| Ok::<_, String>((order?, path))).transpose()?;
         if let Some((order, path)) = &order
             && !ring.verifies_voter_set(order)
@@ -109,8 +109,8 @@
         }
         let order = order.map(|(order, _)| order);
         let (key, pass) = (named("key")?, named("pass")?);
-        let secret = self::secret(&key)?;
-        let identity = Identity::new(secret, self::pass(&pass)?, &ring, now);
+        let secret = read_secret(&key)?;
+        let identity = Identity::new(secret, read_pass(&pass)?, &ring, now);
         Ok(Self { identity: identity.map_err(|fault| format!("{}: {fault}", pass.display()))?, ring, order })
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -48,28 +48,28 @@
 
 pub use crate::frontends::rpc::codec;
 
-use crate::arrivals::Rounds;
+use crate::arrivals::LoopTicks;
 use crate::backends::sql::engine::EngineContext;
 use crate::clock::Clock;
 use crate::decide::Dispatcher;
 use crate::discovery::poll;
-use crate::freshness::Freshness;
+use crate::freshness::ListFreshness;
 use crate::frontends::rpc::connections::Connections;
 use crate::frontends::rpc::front::FrontendContext;
 use crate::frontends::rpc::listen::{self, Intake};
 use crate::frontends::rpc::request::Range;
-use crate::gossip::Talk;
+use crate::gossip::GossipSetup;
 use crate::guards::Guards;
-use crate::memory::Room;
-use crate::pool::Pool;
-use crate::sockets::Descriptors;
-use crate::stop::Order;
+use crate::memory::MemoryBudget;
+use crate::pool::ConnectionPool;
+use crate::sockets::DescriptorBudget;
+use crate::stop::OperatorCommand;
 use crate::tasks::Tasks;
 
 /// Serves until a planned stop is done, which `orders` hold some time. With `talk` it talks with other routers.
 pub async fn serve(
-    tasks: Tasks, given: config::Given, listener: TcpListener, orders: impl Stream<Item = Order> + 'static,
-    talk: Option<Talk>, sheet: &OperatorFile,
+    tasks: Tasks, given: config::RouterConfig, listener: TcpListener, orders: impl Stream<Item = OperatorCommand> + 'static,
+    talk: Option<GossipSetup>, sheet: &OperatorFile,
 ) -> Result<()> {
     let clock = Clock::start();
     let settings = given.settings;
@@ -96,22 +96,22 @@
         grace: Span::from_micros(pace.integer(grace) * 1000),
     };
     let share = pace.integer("engine_rate_percent") as f64 / 100.0;
-    tasks.start(timers::drive());
-    let descriptors = Descriptors::share(given.descriptors);
+    tasks.spawn(timers::drive());
+    let descriptors = DescriptorBudget::split(given.descriptors);
     // Half of the memory in all; the other half is for what each connection and the program itself take.
     let room =
-        |part: f64| Room::new((given.memory_mb * 1024.0 * 1024.0 * part) as usize, descriptors.most_clients);
+        |part: f64| MemoryBudget::new((given.memory_mb * 1024.0 * 1024.0 * part) as usize, descriptors.max_clients);
     let (module, mailbox) = async_channel::bounded(decide::MAILBOX);
     let (urgent, pressing) = async_channel::bounded(decide::MAILBOX);
     let guards = Guards::default();
-    let rounds = Rounds::start(clock, tasks);
-    let freshness = Freshness::new(clock, rounds.clone(), grace);
+    let loop_ticks = LoopTicks::start(clock, tasks);
+    let freshness = ListFreshness::new(clock, loop_ticks.clone(), grace);
     let context = Rc::new(EngineContext {
         clock,
         tasks,
-        queries: Pool::new(clock, descriptors.queries, idle_close),
-        control_calls: Pool::new(clock, descriptors.control_calls, idle_close),
-        probes: Pool::new(clock, descriptors.probes, idle_close),
+        queries: ConnectionPool::new(clock, descriptors.queries, idle_close),
+        control_calls: ConnectionPool::new(clock, descriptors.control_calls, idle_close),
+        probes: ConnectionPool::new(clock, descriptors.probes, idle_close),
         connect_timeout,
         reports,
         room: room(0.15),
@@ -123,16 +123,16 @@
     let notes = talk.map(|talk| gossip::start(talk, clock, given.seed, tasks, module.clone())).transpose()?;
     let dispatcher =
         Dispatcher::new(clock, given.seed, settings, context, module.clone(), notes.clone(), share)?;
-    tasks.start(dispatcher.run(pressing, mailbox));
+    tasks.spawn(dispatcher.run(pressing, mailbox));
     let mut last = 0;
     // A list that can't be read is no reason not to start: the bulletin tells it anew.
     if let Err(fault) = poll::pass_on_known(&given.known, &mut last, &urgent).await {
         log::warn!("known: {fault}");
     }
     let (moves, moved) = async_channel::bounded(1);
-    tasks.start(poll::follow(clock, given.bulletin, grace, last, moved, urgent.clone(), freshness));
+    tasks.spawn(poll::follow(clock, given.bulletin, grace, last, moved, urgent.clone(), freshness));
     let (stop, told_to_stop) = async_channel::bounded(1);
-    tasks.start(stop::heed(orders, moves, stop, notes, guards.clone()));
+    tasks.spawn(stop::heed(orders, moves, stop, notes, guards.clone()));
 
     let intake = Intake::new(listener).map_err(|error| error.to_string())?;
     let owing = Rc::new(Cell::new(0));
@@ -148,11 +148,11 @@
         sends: least("client_sends_bytes_per_s", "client_grace_ms"),
         takes: least("client_takes_bytes_per_s", "client_grace_ms"),
         turn: pace.integer("turn_bytes") as usize,
-        rounds,
+        loop_ticks,
         guards: guards.clone(),
     };
     let connections = Connections::default();
-    tasks.start(listen::accept(intake.clone(), descriptors.clients, clock, connections.clone(), hall));
+    tasks.spawn(listen::accept(intake.clone(), descriptors.clients, clock, connections.clone(), hall));
     log::info!("serving on {}", given.listen);
     if told_to_stop.recv().await.is_err() {
         std::future::pending().await
--- a/crates/router/src/memory.rs
+++ b/crates/router/src/memory.rs
@@ -26,7 +26,7 @@
 
 /// Clones share the same room.
 #[derive(Clone)]
-pub struct Room(Rc<Inner>);
+pub struct MemoryBudget(Rc<Inner>);
 
 struct Inner {
     connections: RefCell<Shares<u64>>,
@@ -35,13 +35,13 @@
 }
 
 /// Bytes taken from a room; given back when dropped.
-pub struct Held {
-    room: Room,
+pub struct MemoryPermit {
+    room: MemoryBudget,
     holder: Holder,
     bytes: usize,
 }
 
-impl Room {
+impl MemoryBudget {
     /// `bytes` among at most so many connections.
     pub fn new(bytes: usize, connections: usize) -> Self {
         Self(Rc::new(Inner {
@@ -52,7 +52,7 @@
     }
 
     /// `None` where too little is free now, or is this holder's part.
-    pub fn try_take(&self, holder: Holder, bytes: usize) -> Option<Held> {
+    pub fn try_acquire(&self, holder: Holder, bytes: usize) -> Option<MemoryPermit> {
         let (mut connections, mut addresses) =
             (self.0.connections.borrow_mut(), self.0.addresses.borrow_mut());
         // Its floor is a connection's own, whatever others of its address hold.
@@ -64,13 +64,13 @@
             return None;
         }
         addresses.charge(&holder.address, bytes);
-        Some(Held { room: self.clone(), holder, bytes })
+        Some(MemoryPermit { room: self.clone(), holder, bytes })
     }
 
-    pub async fn take(&self, holder: Holder, bytes: usize) -> Held {
+    pub async fn acquire(&self, holder: Holder, bytes: usize) -> MemoryPermit {
         loop {
             let given_back = self.0.given_back.listen();
-            if let Some(held) = self.try_take(holder, bytes) {
+            if let Some(held) = self.try_acquire(holder, bytes) {
                 return held;
             }
             given_back.await;
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryPermit {
     fn drop(&mut self) {
         let Inner { connections, addresses, given_back } = &*self.room.0;
         connections.borrow_mut().give(&self.holder.connection, self.bytes);
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -11,10 +11,10 @@
 use futures_lite::{FutureExt, future};
 use woadhook::Span;
 
-use crate::clock::{Clock, pass};
-use crate::faults::CallFault;
+use crate::clock::{Clock, sleep};
+use crate::faults::CallError;
 use crate::http::Connection;
-use crate::sockets::{Link, within};
+use crate::sockets::{Socket, with_timeout};
 
 /// How long a connection rests after an answer before a call for anything else is made on it. Threat: an answer that
 /// comes twice, the second time some milliseconds late, would be taken for the answer to the next call, which may be
@@ -23,7 +23,7 @@
 pub const REST: Span = Span::from_micros(100_000);
 
 /// Connections that share one part of the descriptors.
-pub struct Pool {
+pub struct ConnectionPool {
     clock: Clock,
     part: Arc<Semaphore>,
     /// Half the time after which engines close them, so that no call crosses the close.
@@ -35,13 +35,13 @@
 }
 
 /// A connection in use. Dropped between calls it is idle again, dropped during one it is closed.
-pub struct Lease {
-    pool: Rc<Pool>,
+pub struct PooledConnection {
+    pool: Rc<ConnectionPool>,
     engine: u64,
     connection: Option<Connection>,
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn new(clock: Clock, part: Arc<Semaphore>, idle_close: Span) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -54,8 +54,8 @@
 
     /// A rested connection to this engine that its peer has not closed, or else a new one. Where all
     /// descriptors are in use, the longest idle of any engine is closed for it, or one waited for.
-    pub async fn lease(self: &Rc<Self>, engine: u64, at: SocketAddr, span: Span) -> Result<Lease, CallFault> {
-        let lease = |connection| Lease { pool: self.clone(), engine, connection: Some(connection) };
+    pub async fn acquire(self: &Rc<Self>, engine: u64, at: SocketAddr, span: Span) -> Result<PooledConnection, CallError> {
+        let lease = |connection| PooledConnection { pool: self.clone(), engine, connection: Some(connection) };
         self.close_old();
         while let Some(connection) = self.latest(engine) {
             if connection.is_ready() {
@@ -67,10 +67,10 @@
             None => {
                 self.idle.borrow_mut().pop_front();
                 let _waiting = Waiting::new(&self.waiting);
-                within(span, self.part.acquire_arc()).await.ok_or(CallFault::NoDescriptor)?
+                with_timeout(span, self.part.acquire_arc()).await.ok_or(CallError::NoDescriptor)?
             }
         };
-        let link = Link::connect(at, span, permit);
+        let link = Socket::connect(at, span, permit);
         let link = link.or(self.another(at, span, 1)).or(self.another(at, span, 2)).await?;
         Ok(lease(Connection::new(link, self.clock)))
     }
@@ -78,12 +78,12 @@
     /// Another try at a connection that has not come up for so many thirds of its time. Threat: connections that come up
     /// late, or never, at engines that are well: each would set one aside. It costs a second connection, and a
     /// descriptor if one is free, where an engine is slow to take any.
-    async fn another(&self, at: SocketAddr, span: Span, thirds: u32) -> Result<Link, CallFault> {
+    async fn another(&self, at: SocketAddr, span: Span, thirds: u32) -> Result<Socket, CallError> {
         let after = span.mul_f64(f64::from(thirds) / 3.0);
-        pass(after).await;
+        sleep(after).await;
         match self.part.try_acquire_arc() {
             // Boxed, as few connections need it and each query's task would have room for it.
-            Some(permit) => Box::pin(Link::connect(at, span.saturating_sub(after), permit)).await,
+            Some(permit) => Box::pin(Socket::connect(at, span.saturating_sub(after), permit)).await,
             None => future::pending().await,
         }
     }
@@ -122,20 +122,20 @@
     }
 }
 
-impl Deref for Lease {
+impl Deref for PooledConnection {
     type Target = Connection;
     fn deref(&self) -> &Connection {
         self.connection.as_ref().expect("held until dropped")
     }
 }
 
-impl DerefMut for Lease {
+impl DerefMut for PooledConnection {
     fn deref_mut(&mut self) -> &mut Connection {
         self.connection.as_mut().expect("held until dropped")
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         let keeps = |connection: &Connection| connection.reusable && self.pool.waiting.get() == 0;
         if let Some(mut connection) = self.connection.take().filter(keeps) {
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -12,11 +12,11 @@
 use signal_hook::{flag, low_level::pipe};
 use woadhook::Span;
 
-use crate::clock::pass;
-use crate::config::Given;
+use crate::clock::sleep;
+use crate::config::RouterConfig;
 use crate::file_reads::FileReads;
 use crate::keyfiles::Keys;
-use crate::stop::Order;
+use crate::stop::OperatorCommand;
 
 /// After so long a configuration that was ordered to be read and did not come is told of.
 const TELL_AFTER: Span = Span::from_micros(2_000_000);
@@ -91,8 +91,8 @@
 
     /// What the signals order from now on. `keys` are read again with the configuration.
     pub fn orders(
-        self, config: FileReads<Given>, keys: Option<FileReads<Box<Keys>>>,
-    ) -> impl Stream<Item = Order> + 'static {
+        self, config: FileReads<RouterConfig>, keys: Option<FileReads<Box<Keys>>>,
+    ) -> impl Stream<Item = OperatorCommand> + 'static {
         let reloads = Reloads { signals: self, config, keys, is_untold: false };
         stream::unfold(reloads, |mut reloads| async { Some((reloads.next().await, reloads)) })
     }
@@ -101,7 +101,7 @@
 /// Reads that signals ordered.
 struct Reloads {
     signals: Heeded,
-    config: FileReads<Given>,
+    config: FileReads<RouterConfig>,
     keys: Option<FileReads<Box<Keys>>>,
     /// Whether a read was started that is not told to be late yet.
     is_untold: bool,
@@ -109,15 +109,15 @@
 
 enum Heard {
     Asked(Asked),
-    Read(Order),
+    Read(OperatorCommand),
     Late,
 }
 
 impl Reloads {
-    async fn next(&mut self) -> Order {
+    async fn next(&mut self) -> OperatorCommand {
         loop {
             match self.hear().await {
-                Heard::Asked(Asked::Stop) => return Order::Stop,
+                Heard::Asked(Asked::Stop) => return OperatorCommand::Stop,
                 Heard::Asked(Asked::Reload) => self.start(),
                 Heard::Read(order) => return order,
                 Heard::Late => self.tell_late(),
@@ -128,10 +128,10 @@
     async fn hear(&mut self) -> Heard {
         let (is_untold, keys) = (self.is_untold, &mut self.keys);
         let asked = async { Heard::Asked(self.signals.next().await) };
-        let config = async { Heard::Read(Order::Reload(self.config.next().await)) };
+        let config = async { Heard::Read(OperatorCommand::Reload(self.config.next().await)) };
         let keys = async {
             match keys {
-                Some(keys) => Heard::Read(Order::Rekey(keys.next().await)),
+                Some(keys) => Heard::Read(OperatorCommand::ReloadKeys(keys.next().await)),
                 None => future::pending().await,
             }
         };
@@ -139,7 +139,7 @@
             if !is_untold {
                 return future::pending().await;
             }
-            pass(TELL_AFTER).await;
+            sleep(TELL_AFTER).await;
             Heard::Late
         };
         asked.or(config).or(keys).or(late).await
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -13,9 +13,9 @@
 use woadhook::Span;
 use woadhook_pace::rate::{Least, Watch};
 
-use crate::clock::{Clock, pass};
-use crate::faults::CallFault;
-use crate::interrupted_calls::{PAUSE, TRIES, is_interrupted, retried, retried_at_once};
+use crate::clock::{Clock, sleep};
+use crate::faults::CallError;
+use crate::interrupted_calls::{RETRY_PAUSE, MAX_IMMEDIATE_TRIES, is_interrupted, retried, retried_at_once};
 
 /// Descriptors that are no sockets of peers: standard streams, poller, signals, listener, bulletin.
 const OWN: usize = 24;
@@ -24,10 +24,10 @@
 const PARTING_READ: usize = 4 * 1024;
 
 /// The descriptor limit in parts that cannot starve each other.
-pub struct Descriptors {
+pub struct DescriptorBudget {
     pub clients: Arc<Semaphore>,
     /// How many clients that allows.
-    pub most_clients: usize,
+    pub max_clients: usize,
     /// Starting queries, their news and pages.
     pub queries: Arc<Semaphore>,
     /// Giving queries up and priorities.
@@ -35,8 +35,8 @@
     pub probes: Arc<Semaphore>,
 }
 
-impl Descriptors {
-    pub fn share(limit: usize) -> Self {
+impl DescriptorBudget {
+    pub fn split(limit: usize) -> Self {
         let clients = limit / 3;
         let rest = limit.saturating_sub(clients + OWN).max(2);
         let (control_calls, probes) = ((rest / 5).max(1), (rest / 20).max(1));
@@ -44,7 +44,7 @@
         let part = |count| Arc::new(Semaphore::new(count));
         Self {
             clients: part(clients.max(1)),
-            most_clients: clients.max(1),
+            max_clients: clients.max(1),
             queries: part(queries),
             control_calls: part(control_calls),
             probes: part(probes),
@@ -53,7 +53,7 @@
 }
 
 /// What stands to be read.
-pub enum Waiting {
+pub enum PendingInput {
     Nothing,
     Bytes,
     /// The end of the connection, in order or not.
@@ -61,45 +61,45 @@
 }
 
 /// A connected socket; dropping it closes it and then gives its descriptor back.
-pub struct Link {
+pub struct Socket {
     pub stream: Async<TcpStream>,
     _permit: SemaphoreGuardArc,
 }
 
-impl Link {
+impl Socket {
     pub fn accepted(stream: Async<TcpStream>, permit: SemaphoreGuardArc) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Self { stream, _permit: permit }
     }
 
-    pub async fn connect(to: SocketAddr, span: Span, permit: SemaphoreGuardArc) -> Result<Self, CallFault> {
-        let stream = within(span, Async::<TcpStream>::connect(to)).await;
-        let stream = stream.ok_or(CallFault::NoConnectionInTime)?.map_err(CallFault::of_connect)?;
+    pub async fn connect(to: SocketAddr, span: Span, permit: SemaphoreGuardArc) -> Result<Self, CallError> {
+        let stream = with_timeout(span, Async::<TcpStream>::connect(to)).await;
+        let stream = stream.ok_or(CallError::NoConnectionInTime)?.map_err(CallError::of_connect)?;
         Ok(Self::accepted(stream, permit))
     }
 
     /// Whether the peer has neither closed it nor sent what nobody asked for.
     pub fn is_quiet(&self) -> bool {
-        matches!(self.waiting(), Waiting::Nothing)
+        matches!(self.peek(), PendingInput::Nothing)
     }
 
-    pub fn waiting(&self) -> Waiting {
+    pub fn peek(&self) -> PendingInput {
         match retried_at_once(|| self.stream.get_ref().peek(&mut [0])) {
-            Ok(1..) => Waiting::Bytes,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Waiting::Nothing,
+            Ok(1..) => PendingInput::Bytes,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => PendingInput::Nothing,
             // Whoever asks closes nothing over bytes, and sends nothing behind them.
-            Err(error) if is_interrupted(&error) && is_readable(&self.stream) => Waiting::Bytes,
-            Err(error) if is_interrupted(&error) => Waiting::Nothing,
-            _ => Waiting::Close,
+            Err(error) if is_interrupted(&error) && is_readable(&self.stream) => PendingInput::Bytes,
+            Err(error) if is_interrupted(&error) => PendingInput::Nothing,
+            _ => PendingInput::Close,
         }
     }
 
     /// Whether the peer has closed its side, also behind bytes that were not read yet.
-    pub fn is_left(&self) -> bool {
-        match self.waiting() {
-            Waiting::Nothing => false,
-            Waiting::Close => true,
-            Waiting::Bytes => {
+    pub fn is_closed_by_peer(&self) -> bool {
+        match self.peek() {
+            PendingInput::Nothing => false,
+            PendingInput::Close => true,
+            PendingInput::Bytes => {
                 let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
                 let mut looked = [PollFd::new(&self.stream, PollFlags::RDHUP)];
                 let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -112,7 +112,7 @@
     /// Ends it in order, for so long at most. Threat: a close over unread bytes resets the connection, and what was
     /// written and not yet read by the peer goes with it. So the peer is told of the end, and what still comes is read
     /// and thrown away: it never was a request. It may hold a descriptor for that long.
-    pub async fn part(&self, span: Span) {
+    pub async fn close_gracefully(&self, span: Span) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         let drain = async {
             let (mut passed, mut left) = (vec![0; PARTING_READ], PARTING_BYTES);
@@ -123,7 +123,7 @@
                 }
             }
         };
-        within(span, drain).await;
+        with_timeout(span, drain).await;
     }
 }
 
@@ -135,10 +135,10 @@
 }
 
 /// The outcome of `work`, or nothing once the span has passed.
-pub async fn within<T>(span: Span, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(span: Span, work: impl Future<Output = T>) -> Option<T> {
     let done = async { Some(work.await) };
     let late = async {
-        pass(span).await;
+        sleep(span).await;
         None
     };
     done.or(late).await
@@ -155,7 +155,7 @@
 }
 
 /// Why not all was written.
-pub enum WriteFault {
+pub enum WriteError {
     /// The peer took it too slowly, in these figures.
     TooSlow(String),
     /// The connection broke.
@@ -163,9 +163,9 @@
 }
 
 /// Writes all the parts, and no slower than `least`.
-pub async fn write_at_rate(
+pub async fn write_at_min_rate(
     stream: &Async<TcpStream>, parts: &[&[u8]], clock: Clock, least: Least,
-) -> Result<(), WriteFault> {
+) -> Result<(), WriteError> {
     let watch = Cell::new(Watch::start(clock.now(), least));
     let progress = |progress| match progress {
         Progress::Written(bytes) => {
@@ -178,14 +178,14 @@
     };
     let too_slow = async {
         while !watch.get().is_too_slow(clock.now()) {
-            clock.until(watch.get().due()).await;
+            clock.sleep_until(watch.get().due()).await;
         }
         let (bytes, rate) = watch.get().figures(clock.now());
         let allowed = least.rate;
-        Err(WriteFault::TooSlow(format!("{bytes} bytes at {rate:.0} a second, allowed are {allowed:.0}")))
+        Err(WriteError::TooSlow(format!("{bytes} bytes at {rate:.0} a second, allowed are {allowed:.0}")))
     };
     let written = async {
-        write_gathered(stream, parts, FirstByte::WhenItCan, progress).await.map_err(WriteFault::Broken)
+        write_gathered(stream, parts, FirstByte::WhenItCan, progress).await.map_err(WriteError::Broken)
     };
     written.or(too_slow).await
 }
@@ -223,13 +223,13 @@
         let count = match written.await {
             Err(error) if is_interrupted(&error) => {
                 tries += 1;
-                if tries % TRIES != 0 {
+                if tries % MAX_IMMEDIATE_TRIES != 0 {
                     continue;
                 }
                 if !has_begun && first == FirstByte::AtOnce {
                     return Err(error);
                 }
-                pass(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
                 progress(Progress::Interrupted);
                 continue;
             }
--- a/crates/router/src/starts.rs
+++ b/crates/router/src/starts.rs
@@ -30,25 +30,25 @@
 
 /// When the events of a list happened.
 #[derive(Clone, Copy, Debug)]
-pub enum Happened {
+pub enum EventTime {
     /// Since this router heard from discovery last: a start may be as young as the moment in which it is heard of.
-    Lately,
+    SinceLastContact,
     /// At any time before this router asked for the first time; the newest start among them.
-    Before(Option<Stamp>),
+    BeforeFirstContact(Option<Stamp>),
 }
 
-impl Happened {
+impl EventTime {
     /// What is true of events that make up all that is known.
-    pub fn before(items: &[Value]) -> Self {
-        Self::Before(Stamp::newest(items))
+    pub fn before_first_contact(items: &[Value]) -> Self {
+        Self::BeforeFirstContact(Stamp::newest(items))
     }
 
     /// The least age of a start of which these events tell. Of an older one, it is the span from it to the newest start, or to
     /// the present by this router's wall clock, whichever is less: only clocks that are all wrong alike make it too long.
     pub fn least_age(self, start: Stamp, wall: Moment) -> Span {
         match self {
-            Self::Lately => Span::ZERO,
-            Self::Before(newest) => {
+            Self::SinceLastContact => Span::ZERO,
+            Self::BeforeFirstContact(newest) => {
                 let newest = newest.unwrap_or(start).moment();
                 newest.since(start.moment()).min(wall.since(start.moment()))
             }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -8,10 +8,10 @@
 use woadhook::Span;
 use woadhook_host::fields::Result;
 
-use crate::clock::{Clock, pass};
-use crate::config::Given;
+use crate::clock::{Clock, sleep};
+use crate::config::RouterConfig;
 use crate::discovery::poll::Move;
-use crate::exchange::{Event, Note, Notes};
+use crate::exchange::{Event, GossipEvent, GossipHandle};
 use crate::frontends::rpc::connections::Connections;
 use crate::frontends::rpc::listen::Intake;
 use crate::guards::Guards;
@@ -25,37 +25,37 @@
 const LAST_WORDS: Span = Span::from_micros(100_000);
 const LOOK: Span = Span::from_micros(10_000);
 
-pub enum Order {
+pub enum OperatorCommand {
     /// What was read, or what is wrong with it.
-    Reload(Result<Given>),
+    Reload(Result<RouterConfig>),
     /// The keys that the operator file names, read again, or what is wrong with them.
-    Rekey(Result<Box<Keys>>),
+    ReloadKeys(Result<Box<Keys>>),
     Stop,
 }
 
 /// Carries orders out as they come; `stop` hears of the one to stop, and reloads go on behind it.
 pub async fn heed(
-    orders: impl Stream<Item = Order>, moves: Sender<Move>, stop: Sender<()>, notes: Option<Notes>,
+    orders: impl Stream<Item = OperatorCommand>, moves: Sender<Move>, stop: Sender<()>, notes: Option<GossipHandle>,
     guards: Guards,
 ) {
     let mut orders = std::pin::pin!(orders);
     while let Some(order) = orders.next().await {
         match order {
             // The latest counts, as it holds what an earlier one told.
-            Order::Reload(Ok(given)) => {
+            OperatorCommand::Reload(Ok(given)) => {
                 guards.report();
                 let _ = moves.force_send(Move { to: given.bulletin, known: given.known });
             }
-            Order::Reload(Err(fault)) => log::error!("the old configuration stays: {fault}"),
-            Order::Rekey(Ok(keys)) => {
+            OperatorCommand::Reload(Err(fault)) => log::error!("the old configuration stays: {fault}"),
+            OperatorCommand::ReloadKeys(Ok(keys)) => {
                 if let Some(notes) = &notes {
-                    notes.tell(Note::Rekey(keys));
+                    notes.send(GossipEvent::KeysReloaded(keys));
                 }
             }
-            Order::Rekey(Err(fault)) => log::error!("the old operator file stays: {fault}"),
-            Order::Stop => {
+            OperatorCommand::ReloadKeys(Err(fault)) => log::error!("the old operator file stays: {fault}"),
+            OperatorCommand::Stop => {
                 if let Some(notes) = &notes {
-                    notes.tell(Note::Stopping);
+                    notes.send(GossipEvent::Stopping);
                 }
                 let _ = stop.try_send(());
             }
@@ -72,13 +72,13 @@
     let told = clock.now();
     let by = told + longest.min(LONGEST) + STILL_COMING.saturating_sub(LAST_WORDS);
     log::info!("stopping");
-    let _ = module.send(Event::Stopping { by }).await;
-    clock.until(told + STILL_COMING + LAST_WORDS).await;
+    let _ = module.send(Event::Stopping { last_answer_due: by }).await;
+    clock.sleep_until(told + STILL_COMING + LAST_WORDS).await;
     connections.end();
     let all_gone = async {
         while owing.get() > 0 || !connections.is_empty() || !intake.is_empty() {
-            pass(LOOK).await;
+            sleep(LOOK).await;
         }
     };
-    all_gone.or(clock.until(by + LAST_WORDS)).await;
+    all_gone.or(clock.sleep_until(by + LAST_WORDS)).await;
 }
--- a/crates/router/src/tasks.rs
+++ b/crates/router/src/tasks.rs
@@ -14,7 +14,7 @@
 }
 
 impl Tasks {
-    pub fn start(self, work: impl Future<Output = ()> + 'static) {
+    pub fn spawn(self, work: impl Future<Output = ()> + 'static) {
         self.0.spawn(work).detach();
     }
 
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -84,7 +84,7 @@
 }
 
 /// Ends when the span has passed.
-pub fn pass(span: Span) -> Until {
+pub fn sleep(span: Span) -> Until {
     Until { at: TIMERS.with(Timers::now) + span, key: None }
 }
 
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -11,7 +11,7 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use woadhook_router::codec;
-use woadhook_router::stop::Order;
+use woadhook_router::stop::OperatorCommand;
 use woadhook_standins::calls::{FirstCall, nobody, of_job, post, told_but};
 use woadhook_standins::folders;
 use woadhook_standins::processes::Process;
@@ -293,7 +293,7 @@
         assert!(client.hears().1.is_ok());
     }
     let told = Instant::now();
-    router.orders.send_blocking(Order::Stop).unwrap();
+    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
     for client in &mut resting {
         let mut rest = Vec::new();
         assert_eq!(client.0.read_to_end(&mut rest).map_err(|error| error.kind()), Ok(0));
@@ -325,7 +325,7 @@
     let mut first = [0; 6];
     busy.0.read_exact(&mut first).unwrap();
     let told = Instant::now();
-    router.orders.send_blocking(Order::Stop).unwrap();
+    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
     let reading = thread::spawn(move || while busy.0.read(&mut [0; 4096]).is_ok_and(|count| count > 0) {});
     router.ends();
     assert!(told.elapsed() < Duration::from_millis(1_000 + 700), "{:?}", told.elapsed());
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -7,9 +7,9 @@
 use woadhook_gossip::EngineCondition;
 use woadhook_gossip::keys::{Identity, MemberId, Pass, SecretKey, TrustStore};
 use woadhook_gossip::wire::{DatagramKind, Envelope, Item, ItemTag, MemberRecord, Observation, PADDED_PING_BYTES, encode_signed};
-use woadhook_router::gossip::Talk;
+use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
-use woadhook_router::stop::Order;
+use woadhook_router::stop::OperatorCommand;
 use woadhook_standins::cluster::{operator, revocation, ring, secret, tag, usual_accord, usual_pace};
 use woadhook_standins::*;
 
@@ -38,7 +38,7 @@
     let keys =
         Keys { identity: member(number, &format!("n{number}"), &operator()), ring: ring(), order: None };
     let pace = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..usual_pace() };
-    let talk = Talk { socket, keys, address, seeds, pace, accord: usual_accord() };
+    let talk = GossipSetup { socket, keys, advertised_address: address, seeds, pace, accord: usual_accord() };
     let told = told(engines, Events::default().serve().address, 1024);
     (Running::talking(&told, Some(talk)), address)
 }
@@ -146,9 +146,9 @@
     let mut list = ring();
     assert!(list.revoke(&revocation(7), now()));
     let keys = Keys { identity: member(1, "n1", &operator()), ring: list, order: None };
-    router.orders.send_blocking(Order::Rekey(Ok(Box::new(keys)))).unwrap();
+    router.orders.send_blocking(OperatorCommand::ReloadKeys(Ok(Box::new(keys)))).unwrap();
     // A fault leaves what is in force.
-    router.orders.send_blocking(Order::Rekey(Err("site.jsonnet: bad".to_owned()))).unwrap();
+    router.orders.send_blocking(OperatorCommand::ReloadKeys(Err("site.jsonnet: bad".to_owned()))).unwrap();
     let mut revoked = false;
     for _ in 0..20 {
         honest.says(at, now(), "s-0", false);
@@ -161,7 +161,7 @@
     let mut out = Peer::new(member(7, "n7", &operator()));
     engine.had("GET");
     out.says(at, now(), "s-0", false);
-    router.orders.send_blocking(Order::Stop).unwrap();
+    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
     router.ends();
     assert!(engine.had("GET /load ").len() <= 1, "only the honest member's word brought a probe");
 }
--- a/crates/router/tests/slow.rs
+++ b/crates/router/tests/slow.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use woadhook_operator::OperatorFile;
-use woadhook_router::stop::Order;
+use woadhook_router::stop::OperatorCommand;
 use woadhook_standins::*;
 
 const ROWS: &str = "a\tb\tc\n";
@@ -83,7 +83,7 @@
     usual.asks(1, "look", 20_000);
     assert!(usual.hears().1.is_ok());
     // Whole answers up to some point, then the end: the client can tell.
-    router.orders.send_blocking(Order::Stop).unwrap();
+    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
     router.ends();
     assert!(greedy.is_closed());
 }
--- a/crates/router/tests/slow_discovery.rs
+++ b/crates/router/tests/slow_discovery.rs
@@ -188,7 +188,7 @@
         if let Some((_, to)) = left_moves.next_if(|(at, _)| behind >= **at) {
             config["bulletin"] = json!(to.address.to_string());
             let given = woadhook_router::config::parse(&config.to_string(), None);
-            router.orders.send_blocking(woadhook_router::stop::Order::Reload(given)).unwrap();
+            router.orders.send_blocking(woadhook_router::stop::OperatorCommand::Reload(given)).unwrap();
         }
         thread::sleep(Duration::from_millis(5));
     }
--- a/crates/router/tests/stories/main.rs
+++ b/crates/router/tests/stories/main.rs
@@ -8,10 +8,10 @@
 
 use futures_lite::future::{block_on, poll_once};
 use serde_json::json;
-use woadhook_router::memory::{Holder, Room};
-use woadhook_router::sockets::Descriptors;
+use woadhook_router::memory::{Holder, MemoryBudget};
+use woadhook_router::sockets::DescriptorBudget;
 use woadhook_router::statement::table_group;
-use woadhook_router::stop::Order;
+use woadhook_router::stop::OperatorCommand;
 use woadhook_router::tasks::Tasks;
 use woadhook_router::{codec, config};
 use woadhook_standins::*;
@@ -533,7 +533,7 @@
     let mut client = Client::new(&router);
     second.add(2, vec![member("s-0", old, "DRAINING"), member("s-1", new, "SERVING")]);
     let bulletin = second.serve();
-    let reload = |told: &str| router.orders.send_blocking(Order::Reload(config::parse(told, None))).unwrap();
+    let reload = |told: &str| router.orders.send_blocking(OperatorCommand::Reload(config::parse(told, None))).unwrap();
     reload("{");
     reload(&told(&[old], nobody(), 1024));
     reload(&told(&[old], bulletin.address, 1024));
@@ -543,7 +543,7 @@
     assert!(client.hears().1.is_ok());
     engines[1].awaits("POST");
     // A stop is still heeded.
-    router.orders.send_blocking(Order::Stop).unwrap();
+    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
     router.ends();
 }
 
@@ -561,7 +561,7 @@
     assert!(client.pings(9));
     client.asks(1, "load", 60_000);
     engine.awaits("POST");
-    router.orders.send_blocking(Order::Stop).unwrap();
+    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
     // It says so to the front, and serves on.
     while client.pings(9) {}
     let mut late = Client::new(&router);
@@ -749,8 +749,8 @@
 fn a_task_that_panics_ends_alone() {
     let tasks = Tasks::default();
     let (told, heard) = async_channel::bounded(1);
-    tasks.start(async { panic!("as told") });
-    tasks.start(async move { told.send(7).await.unwrap() });
+    tasks.spawn(async { panic!("as told") });
+    tasks.spawn(async move { told.send(7).await.unwrap() });
     assert_eq!(block_on(tasks.run(heard.recv())), Ok(7));
 }
 
@@ -758,13 +758,13 @@
 fn room_for_bytes_is_waited_for_and_given_back() {
     block_on(async {
         // Half of 1,600 is common, of which one connection gets half; 80 are each one's own.
-        let room = Room::new(1_600, 10);
+        let room = MemoryBudget::new(1_600, 10);
         let holder = |connection| Holder { connection, address: [127, 0, 0, 1].into() };
-        let held = room.take(holder(1), 400).await;
-        let mut second = std::pin::pin!(room.take(holder(1), 300));
+        let held = room.acquire(holder(1), 400).await;
+        let mut second = std::pin::pin!(room.acquire(holder(1), 300));
         assert!(poll_once(second.as_mut()).await.is_none());
         // Others find their floors, and what is still common, meanwhile.
-        let others: Vec<_> = (2..=10).map(|other| room.try_take(holder(other), 80)).collect();
+        let others: Vec<_> = (2..=10).map(|other| room.try_acquire(holder(other), 80)).collect();
         assert!(others.iter().all(Option::is_some));
         drop(held);
         assert!(poll_once(second.as_mut()).await.is_some());
@@ -773,7 +773,7 @@
 
 #[test]
 fn clients_hold_a_third_of_the_descriptors_at_most_and_errands_have_their_own() {
-    let parts = Descriptors::share(1024);
+    let parts = DescriptorBudget::split(1024);
     let count = |part: &Arc<async_lock::Semaphore>| {
         std::iter::from_fn(|| part.try_acquire_arc()).take(2000).collect::<Vec<_>>().len()
     };
--- a/crates/router/tests/waiting_calls.rs
+++ b/crates/router/tests/waiting_calls.rs
@@ -310,7 +310,7 @@
     /// The number of reloads that don't come before the one that does: beside one, and beside more than are read at once.
     const RELOADS: [u32; 2] = [1, 100];
     /// Reads that may be under way at once, as the page for operators tells.
-    const MOST_READS: usize = 4;
+    const MAX_CONCURRENT_READS: usize = 4;
     let engine = engine();
     let mut router = Router::start("fifo-again", &config(&engine), Stdio::null(), None);
     serves(&mut router.client(), 0, 1, "before");
@@ -322,7 +322,7 @@
             router.signal(Signal::HUP);
             serves(&mut client, reloads + reload, 1, "under reloads that do not come");
         }
-        assert!(router.threads() <= threads + MOST_READS, "{} threads, {threads} before", router.threads());
+        assert!(router.threads() <= threads + MAX_CONCURRENT_READS, "{} threads, {threads} before", router.threads());
         let good = router.folder.join("good.json");
         fs::write(&good, told(&[engine.address], new_discovery.address, 1024)).unwrap();
         router.replace_config(&good);
--- a/crates/standins/examples/silent_engine.rs
+++ b/crates/standins/examples/silent_engine.rs
@@ -10,7 +10,7 @@
 
 use woadhook::{Moment, Span};
 use woadhook_gossip::keys::{Identity, Pass};
-use woadhook_router::gossip::Talk;
+use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
 use woadhook_standins::cluster::{operator, ring, secret, tag, usual_accord, usual_pace};
 use woadhook_standins::{Client, Events, Running, Says, Standin, pages, told};
@@ -24,17 +24,17 @@
     Moment::from_micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
-fn talk(number: u64, socket: UdpSocket, seeds: Vec<SocketAddr>) -> Talk {
+fn talk(number: u64, socket: UdpSocket, seeds: Vec<SocketAddr>) -> GossipSetup {
     let secret = secret(number);
     let until = now() + Span::from_secs(3600.0);
     let name = format!("n{number}");
     let pass = Pass::issue(&operator(), &name, secret.public(), tag(), now(), until).expect("a pass");
     let identity = Identity::new(secret, pass, &ring(), now()).expect("an identity");
     let address = socket.local_addr().expect("an address");
-    Talk {
+    GossipSetup {
         socket,
         keys: Keys { identity, ring: ring(), order: None },
-        address,
+        advertised_address: address,
         seeds,
         pace: usual_pace(),
         accord: usual_accord(),
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -307,7 +307,7 @@
         let from = self.nodes[node].address;
         while let Some(core) = self.nodes[node].core.as_mut() {
             if let Some(agreement) = self.agreements.get_mut(&node) {
-                agreement.pull(now, core);
+                agreement.run_actions(now, core);
             }
             let Some(to_do) = core.next_action(now) else { break };
             match to_do {
@@ -319,18 +319,18 @@
                 Action::VoterSet { epoch, voters } => {
                     self.orders.push((node, epoch));
                     if let Some(agreement) = self.agreements.get_mut(&node) {
-                        agreement.ordered(now, epoch, &voters);
+                        agreement.apply_voter_set(now, epoch, &voters);
                     }
                 }
                 Action::DirectMessage { from, bytes } => {
                     if let Some(agreement) = self.agreements.get_mut(&node) {
-                        agreement.heard(now, from, &bytes);
+                        agreement.receive(now, from, &bytes);
                     }
                 }
                 Action::Notice { from, subject, payload } => {
                     self.notices.push((node, from, payload.clone()));
                     if let Some(agreement) = self.agreements.get_mut(&node) {
-                        agreement.noticed(now, from, subject, &payload);
+                        agreement.receive_notice(now, from, subject, &payload);
                     }
                 }
                 Action::Event { kind, member, engine, condition } => {
@@ -346,7 +346,7 @@
             self.due.remove(&(old, node));
         }
         let Some(core) = self.nodes[node].core.as_ref() else { return };
-        let agreement = self.agreements.get(&node).and_then(Agreement::due);
+        let agreement = self.agreements.get(&node).and_then(Agreement::next_deadline);
         let Some(due) = [core.next_deadline(), agreement].into_iter().flatten().min() else { return };
         let own_now = self.nodes[node].now(self.now);
         // Never at once again: a core that is due now was just asked.
--- a/crates/standins/src/routers.rs
+++ b/crates/standins/src/routers.rs
@@ -6,8 +6,8 @@
 
 use serde_json::json;
 use woadhook_operator::OperatorFile;
-use woadhook_router::gossip::Talk;
-use woadhook_router::stop::Order;
+use woadhook_router::gossip::GossipSetup;
+use woadhook_router::stop::OperatorCommand;
 use woadhook_router::tasks::Tasks;
 use woadhook_router::{config, serve};
 
@@ -42,7 +42,7 @@
 /// A router on a thread of its own.
 pub struct Running {
     pub address: SocketAddr,
-    pub orders: async_channel::Sender<Order>,
+    pub orders: async_channel::Sender<OperatorCommand>,
     ended: Receiver<Result<(), String>>,
 }
 
@@ -61,12 +61,12 @@
     }
 
     /// One that talks with other routers.
-    pub fn talking(told: &str, talk: Option<Talk>) -> Self {
+    pub fn talking(told: &str, talk: Option<GossipSetup>) -> Self {
         Self::set(told, talk, OperatorFile::default())
     }
 
     /// One with an operator file.
-    pub fn set(told: &str, talk: Option<Talk>, sheet: OperatorFile) -> Self {
+    pub fn set(told: &str, talk: Option<GossipSetup>, sheet: OperatorFile) -> Self {
         let given = config::parse(told, None).unwrap();
         let listener = TcpListener::bind(given.listen).unwrap();
         let address = listener.local_addr().unwrap();
