--- a/crates/pace/src/crawl.rs
+++ b/crates/flow-control/src/engine_rates.rs
@@ -25,7 +25,7 @@
 
 /// Engines by number. A line goes with its engine.
 #[derive(Default)]
-pub struct Standing {
+pub struct EngineRates {
     /// Bytes of a usual result.
     usual: f64,
     /// Seconds a byte at the engine in the middle, if enough was seen of two at least.
@@ -33,9 +33,9 @@
     engines: BTreeMap<usize, Sending>,
 }
 
-impl Standing {
+impl EngineRates {
     /// A body of so many bytes came in so long, its first byte after so long.
-    pub fn sent(&mut self, engine: usize, bytes: usize, first: Span, body: Span) {
+    pub fn record_transfer(&mut self, engine: usize, bytes: usize, first: Span, body: Span) {
         if bytes < TELLING {
             return;
         }
@@ -49,11 +49,11 @@
     }
 
     /// A whole result of so many bytes.
-    pub fn result(&mut self, bytes: usize) {
+    pub fn record_result_size(&mut self, bytes: usize) {
         self.usual += (bytes as f64 - self.usual) / RESULTS;
     }
 
-    pub fn forget(&mut self, engine: usize) {
+    pub fn remove(&mut self, engine: usize) {
         if self.engines.remove(&engine).is_some() {
             self.middle = self.find_middle();
         }
@@ -66,19 +66,19 @@
         (each.len() >= 2).then(|| *each.select_nth_unstable_by(place, f64::total_cmp).1)
     }
 
-    /// The rate below which a body is too slow, in bytes a second: a share of the middle engine's, and never more than `most`.
-    pub fn least(&self, share: f64, most: f64) -> f64 {
-        self.middle.map_or(most, |middle| (share / middle.max(1e-9)).min(most))
+    /// The rate below which a body is too slow, in bytes a second: a share of the middle engine's, and never more than `max_rate`.
+    pub fn min_rate(&self, share: f64, max_rate: f64) -> f64 {
+        self.middle.map_or(max_rate, |middle| (share / middle.max(1e-9)).min(max_rate))
     }
 
     /// How much longer a usual result takes from this engine than from the one in the middle.
-    pub fn longer(&self, engine: usize) -> Span {
+    pub fn extra_transfer_time(&self, engine: usize) -> Span {
         let Some((own, middle)) = self.engines.get(&engine).zip(self.middle) else { return Span::ZERO };
         Span::from_secs((own.per_byte - middle).max(0.0) * self.usual)
     }
 
     /// An engine's rate in bytes a second, its time to the first byte, and its place among all, the slowest 1.
-    pub fn figures(&self, engine: usize) -> Option<(f64, Span, usize)> {
+    pub fn stats(&self, engine: usize) -> Option<(f64, Span, usize)> {
         let own = self.engines.get(&engine)?;
         let slower = self.engines.values().filter(|other| other.per_byte > own.per_byte).count();
         Some((1.0 / own.per_byte.max(1e-9), Span::from_secs(own.first), slower + 1))
--- a/crates/pace/src/turns.rs
+++ b/crates/flow-control/src/round_robin.rs
@@ -3,13 +3,13 @@
 
 /// What one task may do before the others' turn.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct DeficitCounter {
     quantum: i64,
     /// What is left of this turn; below zero it is owed by the next ones.
     left: i64,
 }
 
-impl Turn {
+impl DeficitCounter {
     /// `quantum` is the work of one turn, in bytes.
     pub fn new(quantum: usize) -> Self {
         let quantum = quantum.max(1) as i64;
@@ -23,7 +23,7 @@
     }
 
     /// The others have had their turn; whether it may go on, or owes another.
-    pub fn again(&mut self) -> bool {
+    pub fn replenish(&mut self) -> bool {
         self.left = (self.left + self.quantum).min(self.quantum);
         self.left > 0
     }
--- a/crates/pace/src/shares.rs
+++ b/crates/flow-control/src/shares.rs
@@ -8,12 +8,12 @@
 
 /// Whether something may be held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum May {
-    Yes,
+pub enum Reservation {
+    Granted,
     /// Not now; when others give back, or this peer does.
     Wait,
     /// Never: it is more than one peer may hold.
-    Never,
+    TooLarge,
 }
 
 /// Who holds how much. `P` names a peer.
@@ -63,41 +63,41 @@
     }
 
     /// The most that one peer may hold where no other holds anything.
-    pub fn most(&self) -> usize {
+    pub fn max_per_peer(&self) -> usize {
         let common = (self.limit - self.apart) as f64;
         self.floor + (common * self.factor / (1.0 + self.factor)) as usize
     }
 
     /// Whether a peer may hold so much more now.
-    pub fn may(&self, peer: &P, bytes: usize) -> May {
+    pub fn check(&self, peer: &P, bytes: usize) -> Reservation {
         let own = self.held_by(peer);
         if own == 0 && self.peers.len() >= self.most_peers && !self.peers.contains_key(peer) {
-            return May::Wait;
+            return Reservation::Wait;
         }
         let after = (own + bytes).saturating_sub(self.floor);
         if after == 0 {
-            return May::Yes;
+            return Reservation::Granted;
         }
-        if own + bytes > self.most() {
-            return if bytes > self.most() { May::Never } else { May::Wait };
+        if own + bytes > self.max_per_peer() {
+            return if bytes > self.max_per_peer() { Reservation::TooLarge } else { Reservation::Wait };
         }
         let before = own.saturating_sub(self.floor);
         let above = self.above - before + after;
-        let Some(free) = (self.limit - self.apart).checked_sub(above) else { return May::Wait };
-        if after as f64 <= self.factor * free as f64 + 1.0 { May::Yes } else { May::Wait }
+        let Some(free) = (self.limit - self.apart).checked_sub(above) else { return Reservation::Wait };
+        if after as f64 <= self.factor * free as f64 + 1.0 { Reservation::Granted } else { Reservation::Wait }
     }
 
     /// Holds so much more, if that may be.
-    pub fn take(&mut self, peer: &P, bytes: usize) -> May {
-        let may = self.may(peer, bytes);
-        if may == May::Yes {
-            self.charge(peer, bytes);
+    pub fn reserve(&mut self, peer: &P, bytes: usize) -> Reservation {
+        let may = self.check(peer, bytes);
+        if may == Reservation::Granted {
+            self.reserve_unchecked(peer, bytes);
         }
         may
     }
 
     /// Holds so much more, whatever may be, as where another account allowed it.
-    pub fn charge(&mut self, peer: &P, bytes: usize) {
+    pub fn reserve_unchecked(&mut self, peer: &P, bytes: usize) {
         if bytes > 0 {
             let held = self.peers.entry(peer.clone()).or_default();
             let before = held.saturating_sub(self.floor);
@@ -108,7 +108,7 @@
     }
 
     /// Gives back; no more than the peer holds.
-    pub fn give(&mut self, peer: &P, bytes: usize) {
+    pub fn release(&mut self, peer: &P, bytes: usize) {
         let Some(held) = self.peers.get_mut(peer) else { return };
         let bytes = bytes.min(*held);
         let before = held.saturating_sub(self.floor);
--- a/crates/pace/src/wheel.rs
+++ b/crates/flow-control/src/timer_wheel.rs
@@ -11,7 +11,7 @@
 
 /// A deadline that was started; of no use once it is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
+pub struct TimerKey {
     place: u32,
     /// Tells a place's deadlines apart.
     turn: u32,
@@ -32,7 +32,7 @@
 const DUE: u8 = LEVELS as u8;
 
 /// Deadlines, each with what it is for. A tick is the least span that is told apart.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     tick: Span,
     start: Moment,
     /// Ticks since the start that were passed.
@@ -47,7 +47,7 @@
     count: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     pub fn new(now: Moment, tick: Span) -> Self {
         Self {
             tick: tick.max(Span::from_micros(1)),
@@ -73,7 +73,7 @@
     }
 
     /// Starts a deadline. It comes at the tick behind `at`, never before `at`.
-    pub fn start(&mut self, at: Moment, item: T) -> Key {
+    pub fn insert(&mut self, at: Moment, item: T) -> TimerKey {
         let tick = at.since(self.start).micros().div_ceil(self.tick.micros());
         let new = |turn| Entry { turn, tick, level: 0, slot: 0, before: NONE, after: NONE, item: Some(item) };
         let place = match self.free.pop() {
@@ -89,11 +89,11 @@
         };
         self.count += 1;
         self.hang(place);
-        Key { place, turn: self.entries[place as usize].turn }
+        TimerKey { place, turn: self.entries[place as usize].turn }
     }
 
     /// Takes a deadline back, if it is not over.
-    pub fn cancel(&mut self, key: Key) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.place as usize).filter(|entry| entry.turn == key.turn)?;
         entry.item.as_ref()?;
         self.unhang(key.place);
@@ -101,25 +101,25 @@
     }
 
     /// Moves a deadline, if it is not over.
-    pub fn restart(&mut self, key: Key, at: Moment) -> Option<Key> {
+    pub fn reschedule(&mut self, key: TimerKey, at: Moment) -> Option<TimerKey> {
         let item = self.cancel(key)?;
-        Some(self.start(at, item))
+        Some(self.insert(at, item))
     }
 
     /// When there is something to do: no later than the first deadline, and no earlier than now where none is due.
-    pub fn due(&self) -> Option<Moment> {
+    pub fn next_wake(&self) -> Option<Moment> {
         if self.due_first != NONE {
             return Some(self.moment(self.passed));
         }
         self.next_slot().map(|(.., tick)| self.moment(tick))
     }
 
-    /// The next that is over by now. One call moves at most `most` deadlines nearer; a `None` with [`due`](Self::due) in the
+    /// The next that is over by now. One call moves at most `max_moves` deadlines nearer; a `None` with [`next_wake`](Self::next_wake) in the
     /// past says that more is to do.
-    pub fn next(&mut self, now: Moment, most: usize) -> Option<T> {
+    pub fn pop_expired(&mut self, now: Moment, max_moves: usize) -> Option<T> {
         let tick = now.since(self.start).micros() / self.tick.micros();
         let mut moved = 0;
-        while self.due_first == NONE && moved < most {
+        while self.due_first == NONE && moved < max_moves {
             let Some((level, slot, at)) = self.next_slot().filter(|(.., at)| *at <= tick) else {
                 self.passed = self.passed.max(tick);
                 return None;
--- a/crates/router/src/backends/sql/engine.rs
+++ b/crates/router/src/backends/sql/engine.rs
@@ -6,7 +6,7 @@
 
 use async_channel::Sender;
 use woadhook::Span;
-use woadhook_pace::rate::Least;
+use woadhook_flow_control::min_rate::MinRate;
 
 use crate::clock::Clock;
 use crate::exchange::Event;
@@ -30,11 +30,11 @@
     pub probes: Rc<ConnectionPool>,
     pub connect_timeout: Span,
     /// Whether probes ask for a load report.
-    pub reports: bool,
+    pub wants_load_reports: bool,
     /// For results.
-    pub room: MemoryBudget,
+    pub result_memory: MemoryBudget,
     /// How slowly pages may come: bytes a second at most asked for, and the grace.
-    pub least: Rc<Cell<Least>>,
+    pub min_rate: Rc<Cell<MinRate>>,
     /// Ends of probes go ahead of what else the module is told.
     pub urgent: Sender<Event>,
     pub guards: Guards,
@@ -48,9 +48,9 @@
     pub serial: u64,
     pub address: SocketAddr,
     /// Whether nothing was heard of its draining or end.
-    pub open: Cell<bool>,
+    pub is_live: Cell<bool>,
     /// Whether it is no more.
-    pub gone: Cell<bool>,
+    pub is_gone: Cell<bool>,
 }
 
 impl Engine {
--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -111,7 +111,7 @@
         while self.doubt.is_open() {
             sleep(SETTLE).await;
             let now = self.now();
-            gone_since = self.engine.gone.get().then(|| gone_since.unwrap_or(now));
+            gone_since = self.engine.is_gone.get().then(|| gone_since.unwrap_or(now));
             if gone_since.is_some_and(|since| now.since(since) >= EXPIRY) {
                 return Settlement::EngineGone;
             }
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -30,22 +30,22 @@
 }
 
 impl EngineHandle {
-    pub fn start(
+    pub fn new(
         context: &Rc<EngineContext>, serial: u64, address: SocketAddr, module: Sender<Event>,
     ) -> Self {
         let engine = Rc::new(Engine {
             context: context.clone(),
             serial,
             address,
-            open: Cell::new(true),
-            gone: Cell::new(false),
+            is_live: Cell::new(true),
+            is_gone: Cell::new(false),
         });
         Self { engine, module }
     }
 
     /// Starts it as a task of its own. What bounds these tasks is the module: its limit on the threads in flight bounds the
     /// queries that are out, it has one probe out at each engine, and its host carries out so many decisions a turn.
-    pub fn send(&self, call: EngineCall) {
+    pub fn spawn(&self, call: EngineCall) {
         let (engine, tasks) = (self.engine.clone(), self.engine.context.tasks);
         match call {
             EngineCall::Run(dispatch, orders) => {
@@ -113,7 +113,7 @@
 
 async fn probe_once(engine: &Engine) -> (Outcome, Option<String>) {
     let mut stats = None;
-    let path = if engine.context.reports { "/load" } else { "/-/ok" };
+    let path = if engine.context.wants_load_reports { "/load" } else { "/-/ok" };
     let hear = |name: &str, value: &str| {
         if name.eq_ignore_ascii_case("X-Stats") {
             stats = Some(value.to_owned());
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
 use woadhook::{Moment, Outcome, Progress, Span};
-use woadhook_pace::rate::Least;
+use woadhook_flow_control::min_rate::MinRate;
 
 use crate::backends::sql::doubt::{Cause, Doubt};
 use crate::backends::sql::engine::Engine;
@@ -305,7 +305,7 @@
     fn sending(&self) -> SendConditions {
         SendConditions {
             now: self.now(),
-            is_engine_open: self.engine.open.get(),
+            is_engine_open: self.engine.is_live.get(),
             deadline: self.dispatch.deadline,
             repeat_deadline: self.dispatch.repeat_deadline,
             is_called_off: self.orders.is_closed(),
@@ -339,8 +339,8 @@
             match opened {
                 Ok(mut lease) => {
                     // An engine that answers at a crawl answers: what has come of a page counts as heard.
-                    let least = self.engine.context.least.get();
-                    lease.min_rate = if crawls < CRAWLS { least } else { Least { rate: 1.0, ..least } };
+                    let least = self.engine.context.min_rate.get();
+                    lease.min_rate = if crawls < CRAWLS { least } else { MinRate { bytes_per_s: 1.0, ..least } };
                     match self.flowing(&mut lease, &path, page).await {
                         Ok(answer) => return Ok((answer, lease)),
                         Err(CallError::TooSlow(figures)) => {
@@ -478,7 +478,7 @@
     /// Every page of the result, each whole and in its place.
     async fn collect(&self, first: Answer, mut lease: PooledConnection) -> Result<QueryResult, Outcome> {
         let most = if first.pages > 1 { RESULT_BYTES } else { first.body.len() };
-        let held = self.engine.context.room.acquire(self.dispatch.statement.holder, most).await;
+        let held = self.engine.context.result_memory.acquire(self.dispatch.statement.holder, most).await;
         let (count, mut bytes, mut pages) = (first.pages, first.body.len(), vec![first.body]);
         while pages.len() < count {
             let (answer, same) = self.ask(pages.len(), Some(lease)).await?;
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -14,8 +14,8 @@
 use woadhook_host::Instance;
 use woadhook_host::fields::*;
 use woadhook_gossip::EngineCondition;
-use woadhook_pace::crawl::Standing;
-use woadhook_pace::rate::Least;
+use woadhook_flow_control::engine_rates::EngineRates;
+use woadhook_flow_control::min_rate::MinRate;
 
 use crate::backends::sql::engine::EngineContext;
 use crate::backends::sql::handle::{EngineCall, EngineHandle};
@@ -74,8 +74,8 @@
     fn list(&mut self, line: Line, started: Option<Moment>) {
         self.line = line;
         self.started = started;
-        self.handle.engine.gone.set(line.listed == EngineStatus::Gone);
-        self.handle.engine.open.set(line.listed == EngineStatus::Live);
+        self.handle.engine.is_gone.set(line.listed == EngineStatus::Gone);
+        self.handle.engine.is_live.set(line.listed == EngineStatus::Live);
     }
 }
 
@@ -104,10 +104,10 @@
     last_answer: Option<Moment>,
     /// The actor that talks with other routers, where they talk.
     notes: Option<GossipHandle>,
-    standing: Standing,
+    standing: EngineRates,
     /// The slowest that engines may send pages; a share of the middle engine's rate, if that is less than the most.
-    least: Rc<Cell<Least>>,
-    most_least: Least,
+    least: Rc<Cell<MinRate>>,
+    most_least: MinRate,
     share: f64,
 }
 
@@ -116,9 +116,9 @@
         clock: Clock, seed: u64, settings: Value, context: Rc<EngineContext>, module: Sender<Event>,
         notes: Option<GossipHandle>, share: f64,
     ) -> Result<Self> {
-        let (least, most_least) = (context.least.clone(), context.least.get());
+        let (least, most_least) = (context.min_rate.clone(), context.min_rate.get());
         Ok(Self {
-            standing: Standing::default(),
+            standing: EngineRates::default(),
             least,
             most_least,
             share,
@@ -229,7 +229,7 @@
                 }
                 let reply = if outcome == Outcome::Done { self.reply_to(job) } else { None };
                 if let Some((reply, rows)) = reply.zip(result) {
-                    self.standing.result(rows.pages.iter().map(Vec::len).sum());
+                    self.standing.record_result_size(rows.pages.iter().map(Vec::len).sum());
                     reply.send(Answer::Served(rows));
                 }
                 if let Some(key) = self.jobs[&job].key.filter(|_| in_doubt) {
@@ -278,10 +278,10 @@
         if !self.engines.contains_key(&engine) {
             return;
         }
-        self.standing.sent(engine.0, bytes, first, body);
-        let rate = self.standing.least(self.share, self.most_least.rate);
-        self.least.set(Least { rate, ..self.most_least });
-        let longer = self.standing.longer(engine.0);
+        self.standing.record_transfer(engine.0, bytes, first, body);
+        let rate = self.standing.min_rate(self.share, self.most_least.bytes_per_s);
+        self.least.set(MinRate { bytes_per_s: rate, ..self.most_least });
+        let longer = self.standing.extra_transfer_time(engine.0);
         self.instance.router.transfer_delay_measured(engine, longer);
     }
 
@@ -425,12 +425,12 @@
             return known.list(line, started);
         }
         self.serial += 1;
-        let handle = EngineHandle::start(&self.context, self.serial, line.at, self.module.clone());
+        let handle = EngineHandle::new(&self.context, self.serial, line.at, self.module.clone());
         let mut new = Known { handle, line, started };
         new.list(line, started);
         if let Some(old) = self.engines.insert(engine, new) {
-            old.handle.engine.open.set(false);
-            old.handle.engine.gone.set(true);
+            old.handle.engine.is_live.set(false);
+            old.handle.engine.is_gone.set(true);
         }
     }
 
@@ -470,7 +470,7 @@
             }
             Decision::Probe { engine } => {
                 if let Some(known) = self.engines.get(&engine) {
-                    known.handle.send(EngineCall::Probe(engine));
+                    known.handle.spawn(EngineCall::Probe(engine));
                 } else {
                     self.instance.router.probe_ended(now, engine, Outcome::NotIssued);
                 }
@@ -499,7 +499,7 @@
             Decision::Forget(Forgotten::Key(key)) => self.instance.keys.release(key.0),
             Decision::Forget(Forgotten::Engine(engine)) => {
                 self.engines.remove(&engine);
-                self.standing.forget(engine.0);
+                self.standing.remove(engine.0);
                 self.instance.engines.release(engine.0);
             }
         }
@@ -528,7 +528,7 @@
             Dispatch { job, number, engine, statement, decided_at: now, deadline: until, repeat_deadline: before, order_key: key, priority };
         let (orders, taken) = async_channel::bounded(ORDERS);
         open.out.insert(number, (engine, orders));
-        known.handle.send(EngineCall::Run(dispatch, taken));
+        known.handle.spawn(EngineCall::Run(dispatch, taken));
     }
 
     /// What this host itself saw of a job's dispatches.
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -42,9 +42,9 @@
 const DOUBTS: usize = 3;
 
 /// Where discovery is from now on, and the events that were known with that.
-pub struct Move {
-    pub to: SocketAddr,
-    pub known: Value,
+pub struct DiscoveryMove {
+    pub address: SocketAddr,
+    pub known_events: Value,
 }
 
 /// An answer of discovery, and its connection where another call can be made over it.
@@ -53,12 +53,12 @@
 enum Heard {
     Due,
     Ended(Ended<Answer, DiscoveryFault>),
-    Moved(Move),
+    Moved(DiscoveryMove),
 }
 
 /// Follows discovery from `last`, the number of the last event known, which goes on at a new address.
 pub async fn follow(
-    clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<Move>, module: Sender<Event>,
+    clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<DiscoveryMove>, module: Sender<Event>,
     freshness: ListFreshness,
 ) {
     let patience = grace.mul_f64(PATIENCE_PART).min(LONGEST);
@@ -104,7 +104,7 @@
 }
 
 impl Follower {
-    async fn run(mut self, moves: Receiver<Move>) {
+    async fn run(mut self, moves: Receiver<DiscoveryMove>) {
         while !self.module.is_closed() {
             let heard = self.hear(&moves).await;
             // Passing on is never cut short, so that each event is told whole and its number kept.
@@ -133,7 +133,7 @@
         }
     }
 
-    async fn hear(&mut self, moves: &Receiver<Move>) -> Heard {
+    async fn hear(&mut self, moves: &Receiver<DiscoveryMove>) -> Heard {
         let moved = async {
             match moves.recv().await {
                 Ok(to) => Heard::Moved(to),
@@ -193,14 +193,14 @@
         passed
     }
 
-    async fn moved(&mut self, Move { to, known }: Move) -> Result<()> {
-        log::info!(event = "discovery_moved", to:% = to; "discovery is at {to}");
-        self.address = to;
+    async fn moved(&mut self, DiscoveryMove { address, known_events }: DiscoveryMove) -> Result<()> {
+        log::info!(event = "discovery_moved", to:% = address; "discovery is at {address}");
+        self.address = address;
         self.kept = None;
         self.calls.moved();
         self.retry = None;
-        if known.is_object() {
-            pass_on(&known, EventTime::SinceLastContact, &mut self.last, false, &self.module).await
+        if known_events.is_object() {
+            pass_on(&known_events, EventTime::SinceLastContact, &mut self.last, false, &self.module).await
         } else {
             Ok(())
         }
@@ -267,7 +267,7 @@
 }
 
 /// Passes on what the configuration held at the start, which may be nothing.
-pub async fn pass_on_known(known: &Value, last: &mut u64, module: &Sender<Event>) -> Result<()> {
+pub async fn forward_known_events(known: &Value, last: &mut u64, module: &Sender<Event>) -> Result<()> {
     if known.is_object() { pass_on_first(known, last, false, module).await } else { Ok(()) }
 }
 
--- a/crates/router/src/frontends/rpc/codec.rs
+++ b/crates/router/src/frontends/rpc/codec.rs
@@ -9,8 +9,8 @@
 use crate::exchange::Answer;
 
 pub const REQUEST: u32 = 0;
-pub const ANSWER: u32 = 1;
-pub const NOTICE: u32 = 2;
+pub const RESPONSE: u32 = 1;
+pub const NOTIFICATION: u32 = 2;
 
 /// What a message is not: whole, of this protocol.
 #[derive(Debug)]
@@ -31,31 +31,31 @@
 pub type Result<T> = std::result::Result<T, Malformed>;
 
 /// Finds where a message ends, over as many pieces as it comes in.
-pub struct Scan {
+pub struct MessageScanner {
     /// Values still to begin, and bytes of the last one still to pass over.
     values: u64,
     bytes: u64,
 }
 
-impl Default for Scan {
+impl Default for MessageScanner {
     fn default() -> Self {
         Self { values: 1, bytes: 0 }
     }
 }
 
-impl Scan {
+impl MessageScanner {
     pub fn is_done(&self) -> bool {
         self.values == 0 && self.bytes == 0
     }
 
     /// The least number of bytes that are still to come, as each value has one.
-    pub fn least_left(&self) -> u64 {
+    pub fn min_remaining(&self) -> u64 {
         self.bytes.saturating_add(self.values)
     }
 
     /// Passes over what of the message stands in `piece`, and returns how many bytes that is: all up to its
     /// end, or up to a head of a value that is not there whole.
-    pub fn pass(&mut self, piece: &[u8]) -> Result<usize> {
+    pub fn advance(&mut self, piece: &[u8]) -> Result<usize> {
         let mut at = 0;
         loop {
             let passed = self.bytes.min((piece.len() - at) as u64);
@@ -108,20 +108,20 @@
 
 /// The length of the message that `bytes` start with, once it is there whole; `scan` keeps what was passed
 /// over before, as `scanned` bytes of it.
-pub fn whole(bytes: &[u8], scan: &mut Scan, scanned: &mut usize) -> Result<Option<usize>> {
-    *scanned += scan.pass(&bytes[*scanned..])?;
+pub fn message_length(bytes: &[u8], scan: &mut MessageScanner, scanned: &mut usize) -> Result<Option<usize>> {
+    *scanned += scan.advance(&bytes[*scanned..])?;
     Ok(scan.is_done().then_some(*scanned))
 }
 
-pub fn array(message: &mut &[u8]) -> Result<u32> {
+pub fn read_array_len(message: &mut &[u8]) -> Result<u32> {
     Ok(decode::read_array_len(message)?)
 }
 
-pub fn number(message: &mut &[u8]) -> Result<u32> {
+pub fn read_u32(message: &mut &[u8]) -> Result<u32> {
     Ok(decode::read_int(message)?)
 }
 
-pub fn text<'a>(message: &mut &'a [u8]) -> Result<&'a str> {
+pub fn read_str<'a>(message: &mut &'a [u8]) -> Result<&'a str> {
     let (found, rest) = decode::read_str_from_slice(*message).map_err(|_| Malformed)?;
     *message = rest;
     Ok(found)
@@ -142,12 +142,12 @@
 
 /// The parameters of a request: hears each field of a map of texts, and returns the body behind it.
 pub fn parameters<'a>(message: &mut &'a [u8], mut field: impl FnMut(&'a str, &'a str)) -> Result<&'a [u8]> {
-    if array(message)? != 2 {
+    if read_array_len(message)? != 2 {
         return Err(Malformed);
     }
     for _ in 0..decode::read_map_len(message)? {
-        let name = text(message)?;
-        field(name, text(message)?);
+        let name = read_str(message)?;
+        field(name, read_str(message)?);
     }
     body(message)
 }
@@ -155,7 +155,7 @@
 /// Writes what stands before and behind the pages of an answer.
 pub fn write(number: u32, answer: &Answer, head: &mut Vec<u8>, tail: &mut Vec<u8>) -> io::Result<()> {
     encode::write_array_len(head, 4)?;
-    encode::write_uint(head, ANSWER.into())?;
+    encode::write_uint(head, RESPONSE.into())?;
     encode::write_uint(head, number.into())?;
     match answer {
         Answer::Served(rows) => {
--- a/crates/router/src/frontends/rpc/connections.rs
+++ b/crates/router/src/frontends/rpc/connections.rs
@@ -110,7 +110,7 @@
     }
 
     /// From now on each connection goes as soon as nothing is owed to it.
-    pub fn end(&self) {
+    pub fn close_when_idle(&self) {
         self.0.ending.set(true);
         self.0.all.borrow().values().for_each(|peer| _ = peer.leave.notify(usize::MAX));
     }
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -12,15 +12,15 @@
 use async_lock::{Semaphore, SemaphoreGuardArc};
 use futures_lite::{FutureExt, future};
 use woadhook::{Moment, Span};
-use woadhook_pace::rate::{Least, Watch};
-use woadhook_pace::turns::Turn;
+use woadhook_flow_control::min_rate::{MinRate, RateMonitor};
+use woadhook_flow_control::round_robin::DeficitCounter;
 
 use crate::arrivals::{ArrivalTimes, LoopTicks};
 use crate::clock::{Clock, sleep};
 use crate::exchange::{Answer, Event, MALFORMED, Responder, Statement, WaitingClient};
-use crate::frontends::rpc::codec::{self, Malformed, Scan};
+use crate::frontends::rpc::codec::{self, Malformed, MessageScanner};
 use crate::frontends::rpc::connections::{Client, Registration};
-use crate::frontends::rpc::request::Range;
+use crate::frontends::rpc::request::RequestLimits;
 use crate::guards::{Guards, Refusal, Step};
 use crate::memory::{MemoryPermit, Holder, MemoryBudget};
 use crate::sockets::{Socket, PendingInput, WriteError, read_once, with_timeout, write_at_min_rate};
@@ -55,20 +55,20 @@
 pub struct FrontendContext {
     pub clock: Clock,
     pub tasks: Tasks,
-    pub module: Sender<Event>,
-    pub range: Rc<Range>,
+    pub events: Sender<Event>,
+    pub request_limits: Rc<RequestLimits>,
     /// For statements with their jobs, and for messages on their way in.
-    pub room: MemoryBudget,
-    pub messages: MemoryBudget,
+    pub job_memory: MemoryBudget,
+    pub message_memory: MemoryBudget,
     /// What a client is told that is turned away here.
     pub come_back: Option<Span>,
     /// How many answers are owed on all connections.
-    pub owing: Rc<Cell<usize>>,
+    pub answers_owed: Rc<Cell<usize>>,
     /// The slowest that a client may send a message, and take its answers.
-    pub sends: Least,
-    pub takes: Least,
+    pub min_send_rate: MinRate,
+    pub min_receive_rate: MinRate,
     /// Bytes that a connection may read or write before the others' turn.
-    pub turn: usize,
+    pub quantum_bytes: usize,
     pub loop_ticks: LoopTicks,
     pub guards: Guards,
 }
@@ -118,14 +118,14 @@
     link: Rc<Socket>, client: u64, registration: Registration, came: Moment, context: FrontendContext,
 ) {
     let gone = Rc::new(Cell::new(false));
-    let leave = Leave { client, gone: gone.clone(), module: context.module.clone(), tasks: context.tasks };
+    let leave = Leave { client, gone: gone.clone(), module: context.events.clone(), tasks: context.tasks };
     let (outbox, answers) = async_channel::bounded(OPEN + ASIDE);
     let (places, aside) = (Arc::new(Semaphore::new(OPEN)), Arc::new(Semaphore::new(ASIDE)));
     let (peer, clock, guards) = (registration.peer.clone(), context.clock, context.guards.clone());
     let address =
         link.stream.get_ref().peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
     let holder = Holder { connection: client, address };
-    let (takes, turn) = (context.takes, Turn::new(context.turn));
+    let (takes, turn) = (context.min_receive_rate, DeficitCounter::new(context.quantum_bytes));
     let (own, asked) = (peer.clone(), Asked::default());
     let reader = Reader {
         client,
@@ -248,7 +248,7 @@
 }
 
 async fn write(
-    link: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: Least, mut turn: Turn,
+    link: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: MinRate, mut turn: DeficitCounter,
 ) -> Result<(), WriteError> {
     let (mut head, mut tail) = (Vec::new(), Vec::new());
     while let Ok(outgoing) = answers.recv().await {
@@ -269,11 +269,11 @@
 }
 
 /// Lets the others have theirs once a turn is used up.
-async fn rest(turn: &mut Turn, bytes: usize) {
+async fn rest(turn: &mut DeficitCounter, bytes: usize) {
     if turn.spend(bytes) {
         loop {
             future::yield_now().await;
-            if turn.again() {
+            if turn.replenish() {
                 break;
             }
         }
@@ -308,18 +308,18 @@
     async fn read(&self, link: &Socket) -> Result<(), End> {
         let (mut buffer, mut filled) = (vec![0; READ_BYTES], 0);
         let mut room: Option<MemoryPermit> = None;
-        let (mut scan, mut scanned) = (Scan::default(), 0);
+        let (mut scan, mut scanned) = (MessageScanner::default(), 0);
         // Until when the message under way is to be whole; the first is under way from the start.
         let mut due = Some(self.context.clock.now() + MESSAGE_WITHIN);
-        let (mut watch, mut turn) = (None, Turn::new(self.context.turn));
+        let (mut watch, mut turn) = (None, DeficitCounter::new(self.context.quantum_bytes));
         loop {
             let (mut start, mut turned_away) = (0, 0);
-            while let Some(length) = codec::whole(&buffer[start..filled], &mut scan, &mut scanned)? {
+            while let Some(length) = codec::message_length(&buffer[start..filled], &mut scan, &mut scanned)? {
                 turned_away += self.take(&buffer[start..start + length]).await?;
                 start += length;
-                (scan, scanned, due, watch) = (Scan::default(), 0, None, None);
+                (scan, scanned, due, watch) = (MessageScanner::default(), 0, None, None);
             }
-            if scan.least_left().saturating_add(scanned as u64) > MESSAGE_BYTES as u64 {
+            if scan.min_remaining().saturating_add(scanned as u64) > MESSAGE_BYTES as u64 {
                 self.refuse(&buffer[start..filled]).await?;
                 return Err(End::TooLong);
             }
@@ -328,7 +328,7 @@
             if filled == buffer.len() {
                 // Threat: many clients with long messages. Those that find no room are closed when theirs is
                 // due.
-                let more = with_timeout(MESSAGE_WITHIN, self.context.messages.acquire(self.holder, filled * 2)).await;
+                let more = with_timeout(MESSAGE_WITHIN, self.context.message_memory.acquire(self.holder, filled * 2)).await;
                 room = Some(more.ok_or(End::NoRoom)?);
                 buffer.resize(filled * 2, 0);
             } else if filled == 0 && room.take().is_some() {
@@ -336,14 +336,14 @@
             }
             if filled > 0 && due.is_none() {
                 due = Some(self.context.clock.now() + MESSAGE_WITHIN);
-                watch = Some(Watch::start(self.context.clock.now(), self.context.sends));
+                watch = Some(RateMonitor::start(self.context.clock.now(), self.context.min_send_rate));
             }
             self.peer.midway.set(filled > 0);
             self.peer.settled();
             if !self.pace(link, turned_away).await {
                 return Ok(());
             }
-            let until = due.map(|due| watch.map_or(due, |watch: Watch| due.min(watch.due())));
+            let until = due.map(|due| watch.map_or(due, |watch: RateMonitor| due.min(watch.deadline())));
             let count = match self.read_some(link, &mut buffer[filled..], until).await? {
                 Some(Ok(0)) => return Ok(()),
                 Some(count) => count.map_err(End::Broken)?,
@@ -352,7 +352,7 @@
             self.peer.midway.set(true);
             filled += count;
             if let Some(watch) = &mut watch {
-                watch.moved(self.context.clock.now(), count);
+                watch.record(self.context.clock.now(), count);
             }
             rest(&mut turn, count).await;
             self.peer.quiet_since.set(self.context.clock.now());
@@ -377,8 +377,8 @@
     }
 
     /// The fault of a client that was at a message, with the figures of its slowness.
-    fn too_slow(&self, watch: Option<Watch>) -> End {
-        let (bytes, rate) = watch.map_or((0, 0.0), |watch| watch.figures(self.context.clock.now()));
+    fn too_slow(&self, watch: Option<RateMonitor>) -> End {
+        let (bytes, rate) = watch.map_or((0, 0.0), |watch| watch.stats(self.context.clock.now()));
         End::TooSlow(format!("{bytes} bytes at {rate:.0} a second"))
     }
 
@@ -411,8 +411,8 @@
     /// Answers a request that is too long, where its start tells the number.
     async fn refuse(&self, mut message: &[u8]) -> codec::Result<()> {
         let message = &mut message;
-        if (codec::array(message)?, codec::number(message)?) == (4, codec::REQUEST) {
-            self.aside(codec::number(message)?).await.send(Answer::Failed(MALFORMED));
+        if (codec::read_array_len(message)?, codec::read_u32(message)?) == (4, codec::REQUEST) {
+            self.aside(codec::read_u32(message)?).await.send(Answer::Failed(MALFORMED));
         }
         Ok(())
     }
@@ -420,13 +420,13 @@
     /// Takes in one whole message, and returns how many it answered by itself.
     async fn take(&self, mut message: &[u8]) -> Result<usize, End> {
         let (arrived, message) = (self.arrivals.request_start(), &mut message);
-        let parts = codec::array(message)?;
-        match (codec::number(message)?, parts) {
+        let parts = codec::read_array_len(message)?;
+        match (codec::read_u32(message)?, parts) {
             (codec::REQUEST, 4) => {
-                let number = codec::number(message)?;
-                let method = codec::text(message);
+                let number = codec::read_u32(message)?;
+                let method = codec::read_str(message);
                 if let Ok("ping") = method {
-                    let _ = self.context.module.send(Event::Ping { responder: self.aside(number).await }).await;
+                    let _ = self.context.events.send(Event::Ping { responder: self.aside(number).await }).await;
                     return Ok(1);
                 }
                 if number <= self.last.replace(number) {
@@ -440,13 +440,13 @@
                 self.aside(number).await.send(answer);
                 Ok(1)
             }
-            (codec::NOTICE, 3) => {
-                if codec::text(message)? == "abort" && codec::array(message)? > 0 {
-                    let number = codec::number(message)?;
+            (codec::NOTIFICATION, 3) => {
+                if codec::read_str(message)? == "abort" && codec::read_array_len(message)? > 0 {
+                    let number = codec::read_u32(message)?;
                     if let Some(statement) = self.asked.borrow().get(&number) {
                         statement.client.withdraw();
                     }
-                    let _ = self.context.module.send(Event::Withdrawn { client: self.client, number }).await;
+                    let _ = self.context.events.send(Event::Withdrawn { client: self.client, number }).await;
                 }
                 Ok(0)
             }
@@ -462,7 +462,7 @@
     }
 
     fn reply(&self, number: u32, place: SemaphoreGuardArc, awaited: Option<Awaited>) -> Responder {
-        let (peer, owing) = (self.peer.clone(), self.context.owing.clone());
+        let (peer, owing) = (self.peer.clone(), self.context.answers_owed.clone());
         owing.set(owing.get() + 1);
         peer.open.set(peer.open.get() + 1);
         let (owed, outbox) = (Owed { _place: place, owing, peer }, self.outbox.clone());
@@ -478,10 +478,10 @@
         &self, arrived: Moment, number: u32, method: &str, message: &mut &[u8],
     ) -> Result<(), Answer> {
         let malformed = |_: Malformed| Answer::Failed(MALFORMED);
-        let asked = self.context.range.request(method, message).map_err(malformed)?;
+        let asked = self.context.request_limits.request(method, message).map_err(malformed)?;
         let full = || Answer::Overloaded(self.context.come_back);
         let place = self.places.try_acquire_arc().ok_or_else(full)?;
-        let held = self.context.room.try_acquire(self.holder, asked.text.len() + JOB_BYTES).ok_or_else(full)?;
+        let held = self.context.job_memory.try_acquire(self.holder, asked.text.len() + JOB_BYTES).ok_or_else(full)?;
         // The connection itself belongs to its actor alone.
         let (link, gone) = (self.peer.link.clone(), self.gone.clone());
         let connected = move || !gone.get() && link.upgrade().is_some_and(|link| !link.is_closed_by_peer());
@@ -509,7 +509,7 @@
             deadline: arrived + asked.wait,
             responder: self.reply(number, place, Some(awaited)),
         };
-        let _ = self.context.module.send(arrival).await;
+        let _ = self.context.events.send(arrival).await;
         Ok(())
     }
 }
--- a/crates/router/src/frontends/rpc/listen.rs
+++ b/crates/router/src/frontends/rpc/listen.rs
@@ -25,13 +25,13 @@
 
 /// What came to be taken in and was not yet.
 #[derive(Clone)]
-pub struct Intake {
+pub struct Acceptor {
     listener: Rc<Async<TcpListener>>,
     /// Whether a connection that was accepted waits for a place.
     holds_one: Rc<Cell<bool>>,
 }
 
-impl Intake {
+impl Acceptor {
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         Ok(Self { listener: Rc::new(Async::new(listener)?), holds_one: Rc::default() })
     }
@@ -64,7 +64,7 @@
     }
 
     /// Whether nothing waits: a client may have written a request to a connection that was not accepted yet.
-    pub fn is_empty(&self) -> bool {
+    pub fn has_no_pending(&self) -> bool {
         !self.holds_one.get() && !is_readable(self.listener.get_ref())
     }
 }
@@ -92,7 +92,7 @@
 
 /// Takes in connections for as long as the router runs.
 pub async fn accept(
-    intake: Intake, part: Arc<Semaphore>, clock: Clock, connections: Connections, context: FrontendContext,
+    intake: Acceptor, part: Arc<Semaphore>, clock: Clock, connections: Connections, context: FrontendContext,
 ) {
     let arrivals = ArrivalTimes::new(clock.now(), clock, context.loop_ticks.clone());
     for client in 0.. {
--- a/crates/router/src/frontends/rpc/request.rs
+++ b/crates/router/src/frontends/rpc/request.rs
@@ -12,12 +12,12 @@
 const NAME_BYTES: usize = 64;
 
 /// What the settings allow.
-pub struct Range {
+pub struct RequestLimits {
     /// The reservation types with their job timeouts.
     pub types: Vec<(String, Span)>,
     /// Of the largest kind of engine: cores, and memory in megabytes.
-    pub cores: f64,
-    pub memory: f64,
+    pub max_cores: f64,
+    pub max_memory_mb: f64,
 }
 
 /// A request whose fields can be used.
@@ -36,7 +36,7 @@
     pub group: GroupId,
 }
 
-impl Range {
+impl RequestLimits {
     /// Reads the parameters of a request, which `message` holds and nothing else.
     pub fn request<'a>(&self, method: &str, message: &mut &'a [u8]) -> Result<Request<'a>> {
         let place = self.types.iter().position(|(name, _)| name == method).ok_or(Malformed)?;
@@ -54,7 +54,7 @@
         let wait = wait.filter(|wait| !wait.contains('.')).ok_or(Malformed)?;
         // No engine could do more than that in the longest time, all of its cores at work. The type's own time is no bound:
         // a job that can't be done in it is to be told so, not that it is malformed.
-        let most = self.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or(timeout).mul_f64(self.cores);
+        let most = self.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or(timeout).mul_f64(self.max_cores);
         let text = str::from_utf8(body).map_err(|_| Malformed)?;
         // It may go on as a field of a head.
         let plain = |name: &str| name.trim() == name && name.bytes().all(|byte| (0x20..0x7f).contains(&byte));
@@ -77,7 +77,7 @@
                 .map(|cost| within(millis(amount(cost)?), most))
                 .transpose()?
                 .filter(|told| *told > Span::ZERO),
-            memory: ram.map_or(Ok(0.0), amount).ok().filter(|ram| *ram <= self.memory).ok_or(Malformed)?,
+            memory: ram.map_or(Ok(0.0), amount).ok().filter(|ram| *ram <= self.max_memory_mb).ok_or(Malformed)?,
             tenant,
             key,
             once,
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -7,7 +7,7 @@
 
 use httparse::{EMPTY_HEADER, Response, Status};
 use woadhook::{Moment, Span};
-use woadhook_pace::rate::{Least, Watch};
+use woadhook_flow_control::min_rate::{MinRate, RateMonitor};
 
 use crate::clock::Clock;
 use crate::faults::CallError;
@@ -31,22 +31,22 @@
     pub first_byte_at: Moment,
     pub last_byte_at: Moment,
     pub bytes: usize,
-    watch: Watch,
+    watch: RateMonitor,
 }
 
 impl Received {
     /// When it has been too slow, if nothing more comes.
     pub fn due(&self) -> Moment {
-        self.watch.due()
+        self.watch.deadline()
     }
 }
 
 impl ResponseProgress {
-    fn moved(&self, clock: Clock, least: Least, bytes: usize) {
+    fn moved(&self, clock: Clock, least: MinRate, bytes: usize) {
         let now = clock.now();
-        let new = Received { first_byte_at: now, last_byte_at: now, bytes: 0, watch: Watch::start(now, least) };
+        let new = Received { first_byte_at: now, last_byte_at: now, bytes: 0, watch: RateMonitor::start(now, least) };
         let mut came = self.0.get().unwrap_or(new);
-        came.watch.moved(now, bytes);
+        came.watch.record(now, bytes);
         (came.last_byte_at, came.bytes) = (now, came.bytes + bytes);
         self.0.set(Some(came));
     }
@@ -62,7 +62,7 @@
     pub socket: Socket,
     pub response_progress: ResponseProgress,
     /// The slowest that answers may come, as far as [`ResponseProgress`] tells of it.
-    pub min_rate: Least,
+    pub min_rate: MinRate,
     clock: Clock,
     /// What was read and not used yet; empty and without memory between calls.
     buffer: Vec<u8>,
@@ -88,7 +88,7 @@
 
 impl Connection {
     pub fn new(link: Socket, clock: Clock) -> Self {
-        let least = Least { rate: 0.0, grace: Span::ZERO };
+        let least = MinRate { bytes_per_s: 0.0, grace: Span::ZERO };
         Self {
             socket: link,
             response_progress: ResponseProgress::default(),
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -44,7 +44,7 @@
 use woadhook::Span;
 use woadhook_host::fields::*;
 use woadhook_operator::OperatorFile;
-use woadhook_pace::rate::Least;
+use woadhook_flow_control::min_rate::MinRate;
 
 pub use crate::frontends::rpc::codec;
 
@@ -56,8 +56,8 @@
 use crate::freshness::ListFreshness;
 use crate::frontends::rpc::connections::Connections;
 use crate::frontends::rpc::front::FrontendContext;
-use crate::frontends::rpc::listen::{self, Intake};
-use crate::frontends::rpc::request::Range;
+use crate::frontends::rpc::listen::{self, Acceptor};
+use crate::frontends::rpc::request::RequestLimits;
 use crate::gossip::GossipSetup;
 use crate::guards::Guards;
 use crate::memory::MemoryBudget;
@@ -82,17 +82,17 @@
     let classes = array(&settings, "classes")?;
     let types = classes.iter().map(|class| Ok((text(class, "name")?.to_owned(), span(class, "deadlineUs")?)));
     let most = |field| numbers(family, field).map(|each| each.into_iter().fold(1.0, f64::max));
-    let range = Range {
+    let range = RequestLimits {
         types: types.collect::<Result<_>>()?,
-        cores: most("coresByKind")?,
-        memory: most("ramOfKindMb")?,
+        max_cores: most("coresByKind")?,
+        max_memory_mb: most("ramOfKindMb")?,
     };
     let longest = range.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or_default();
     let come_back = woadhook_host::max_retry_after(limits)?;
 
     let pace = sheet.section("pace").ok_or("no section pace")?;
-    let least = |rate: &str, grace: &str| Least {
-        rate: pace.integer(rate) as f64,
+    let least = |rate: &str, grace: &str| MinRate {
+        bytes_per_s: pace.integer(rate) as f64,
         grace: Span::from_micros(pace.integer(grace) * 1000),
     };
     let share = pace.integer("engine_rate_percent") as f64 / 100.0;
@@ -113,9 +113,9 @@
         control_calls: ConnectionPool::new(clock, descriptors.control_calls, idle_close),
         probes: ConnectionPool::new(clock, descriptors.probes, idle_close),
         connect_timeout,
-        reports,
-        room: room(0.15),
-        least: Rc::new(Cell::new(least("engine_bytes_per_s", "engine_grace_ms"))),
+        wants_load_reports: reports,
+        result_memory: room(0.15),
+        min_rate: Rc::new(Cell::new(least("engine_bytes_per_s", "engine_grace_ms"))),
         urgent: urgent.clone(),
         guards: guards.clone(),
         freshness: freshness.clone(),
@@ -126,7 +126,7 @@
     tasks.spawn(dispatcher.run(pressing, mailbox));
     let mut last = 0;
     // A list that can't be read is no reason not to start: the bulletin tells it anew.
-    if let Err(fault) = poll::pass_on_known(&given.known, &mut last, &urgent).await {
+    if let Err(fault) = poll::forward_known_events(&given.known, &mut last, &urgent).await {
         log::warn!("known: {fault}");
     }
     let (moves, moved) = async_channel::bounded(1);
@@ -134,20 +134,20 @@
     let (stop, told_to_stop) = async_channel::bounded(1);
     tasks.spawn(stop::heed(orders, moves, stop, notes, guards.clone()));
 
-    let intake = Intake::new(listener).map_err(|error| error.to_string())?;
+    let intake = Acceptor::new(listener).map_err(|error| error.to_string())?;
     let owing = Rc::new(Cell::new(0));
     let hall = FrontendContext {
         clock,
         tasks,
-        module: module.clone(),
-        range: Rc::new(range),
-        room: room(0.25),
-        messages: room(0.1),
+        events: module.clone(),
+        request_limits: Rc::new(range),
+        job_memory: room(0.25),
+        message_memory: room(0.1),
         come_back,
-        owing: owing.clone(),
-        sends: least("client_sends_bytes_per_s", "client_grace_ms"),
-        takes: least("client_takes_bytes_per_s", "client_grace_ms"),
-        turn: pace.integer("turn_bytes") as usize,
+        answers_owed: owing.clone(),
+        min_send_rate: least("client_sends_bytes_per_s", "client_grace_ms"),
+        min_receive_rate: least("client_takes_bytes_per_s", "client_grace_ms"),
+        quantum_bytes: pace.integer("turn_bytes") as usize,
         loop_ticks,
         guards: guards.clone(),
     };
--- a/crates/router/src/memory.rs
+++ b/crates/router/src/memory.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use event_listener::Event;
-use woadhook_pace::shares::{May, Shares};
+use woadhook_flow_control::shares::{Reservation, Shares};
 
 /// Part of a room that is set apart for floors, one for each connection that there can be.
 const APART: f64 = 0.5;
@@ -57,13 +57,13 @@
             (self.0.connections.borrow_mut(), self.0.addresses.borrow_mut());
         // Its floor is a connection's own, whatever others of its address hold.
         let within_floor = connections.held_by(&holder.connection) + bytes <= connections.floor();
-        if !within_floor && addresses.may(&holder.address, bytes) != May::Yes {
+        if !within_floor && addresses.check(&holder.address, bytes) != Reservation::Granted {
             return None;
         }
-        if connections.take(&holder.connection, bytes) != May::Yes {
+        if connections.reserve(&holder.connection, bytes) != Reservation::Granted {
             return None;
         }
-        addresses.charge(&holder.address, bytes);
+        addresses.reserve_unchecked(&holder.address, bytes);
         Some(MemoryPermit { room: self.clone(), holder, bytes })
     }
 
@@ -81,8 +81,8 @@
 impl Drop for MemoryPermit {
     fn drop(&mut self) {
         let Inner { connections, addresses, given_back } = &*self.room.0;
-        connections.borrow_mut().give(&self.holder.connection, self.bytes);
-        addresses.borrow_mut().give(&self.holder.address, self.bytes);
+        connections.borrow_mut().release(&self.holder.connection, self.bytes);
+        addresses.borrow_mut().release(&self.holder.address, self.bytes);
         given_back.notify(usize::MAX);
     }
 }
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -11,7 +11,7 @@
 use futures_lite::{AsyncReadExt, AsyncWrite, FutureExt, future};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use woadhook::Span;
-use woadhook_pace::rate::{Least, Watch};
+use woadhook_flow_control::min_rate::{MinRate, RateMonitor};
 
 use crate::clock::{Clock, sleep};
 use crate::faults::CallError;
@@ -164,24 +164,24 @@
 
 /// Writes all the parts, and no slower than `least`.
 pub async fn write_at_min_rate(
-    stream: &Async<TcpStream>, parts: &[&[u8]], clock: Clock, least: Least,
+    stream: &Async<TcpStream>, parts: &[&[u8]], clock: Clock, least: MinRate,
 ) -> Result<(), WriteError> {
-    let watch = Cell::new(Watch::start(clock.now(), least));
+    let watch = Cell::new(RateMonitor::start(clock.now(), least));
     let progress = |progress| match progress {
         Progress::Written(bytes) => {
             let mut moved = watch.get();
-            moved.moved(clock.now(), bytes);
+            moved.record(clock.now(), bytes);
             watch.set(moved);
         }
         // The peer is not slow for it.
-        Progress::Interrupted => watch.set(Watch::start(clock.now(), least)),
+        Progress::Interrupted => watch.set(RateMonitor::start(clock.now(), least)),
     };
     let too_slow = async {
         while !watch.get().is_too_slow(clock.now()) {
-            clock.sleep_until(watch.get().due()).await;
+            clock.sleep_until(watch.get().deadline()).await;
         }
-        let (bytes, rate) = watch.get().figures(clock.now());
-        let allowed = least.rate;
+        let (bytes, rate) = watch.get().stats(clock.now());
+        let allowed = least.bytes_per_s;
         Err(WriteError::TooSlow(format!("{bytes} bytes at {rate:.0} a second, allowed are {allowed:.0}")))
     };
     let written = async {
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -10,10 +10,10 @@
 
 use crate::clock::{Clock, sleep};
 use crate::config::RouterConfig;
-use crate::discovery::poll::Move;
+use crate::discovery::poll::DiscoveryMove;
 use crate::exchange::{Event, GossipEvent, GossipHandle};
 use crate::frontends::rpc::connections::Connections;
-use crate::frontends::rpc::listen::Intake;
+use crate::frontends::rpc::listen::Acceptor;
 use crate::guards::Guards;
 use crate::keyfiles::Keys;
 
@@ -35,7 +35,7 @@
 
 /// Carries orders out as they come; `stop` hears of the one to stop, and reloads go on behind it.
 pub async fn heed(
-    orders: impl Stream<Item = OperatorCommand>, moves: Sender<Move>, stop: Sender<()>, notes: Option<GossipHandle>,
+    orders: impl Stream<Item = OperatorCommand>, moves: Sender<DiscoveryMove>, stop: Sender<()>, notes: Option<GossipHandle>,
     guards: Guards,
 ) {
     let mut orders = std::pin::pin!(orders);
@@ -44,7 +44,7 @@
             // The latest counts, as it holds what an earlier one told.
             OperatorCommand::Reload(Ok(given)) => {
                 guards.report();
-                let _ = moves.force_send(Move { to: given.bulletin, known: given.known });
+                let _ = moves.force_send(DiscoveryMove { address: given.bulletin, known_events: given.known });
             }
             OperatorCommand::Reload(Err(fault)) => log::error!("the old configuration stays: {fault}"),
             OperatorCommand::ReloadKeys(Ok(keys)) => {
@@ -66,7 +66,7 @@
 /// From the word to stop until the process may end. Clients may rest on their connections until they are told of the end,
 /// or ask on and on: each connection goes once nothing is owed to it, and none holds up the end beyond its time.
 pub async fn wait(
-    clock: Clock, longest: Span, owing: &Cell<usize>, connections: &Connections, intake: &Intake,
+    clock: Clock, longest: Span, owing: &Cell<usize>, connections: &Connections, intake: &Acceptor,
     module: Sender<Event>,
 ) {
     let told = clock.now();
@@ -74,9 +74,9 @@
     log::info!("stopping");
     let _ = module.send(Event::Stopping { last_answer_due: by }).await;
     clock.sleep_until(told + STILL_COMING + LAST_WORDS).await;
-    connections.end();
+    connections.close_when_idle();
     let all_gone = async {
-        while owing.get() > 0 || !connections.is_empty() || !intake.is_empty() {
+        while owing.get() > 0 || !connections.is_empty() || !intake.has_no_pending() {
             sleep(LOOK).await;
         }
     };
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -9,7 +9,7 @@
 use event_listener::Event;
 use futures_lite::{FutureExt, future};
 use woadhook::{Moment, Span};
-use woadhook_pace::wheel::{Key, Wheel};
+use woadhook_flow_control::timer_wheel::{TimerKey, TimerWheel};
 
 /// The least span that is told apart.
 const TICK: Span = Span::from_micros(1_000);
@@ -23,7 +23,7 @@
 struct Timers {
     started: Instant,
     /// Emptied as deadlines end or are dropped.
-    wheel: RefCell<Wheel<Waker>>,
+    wheel: RefCell<TimerWheel<Waker>>,
     /// Until when the driver sleeps; nothing while it is awake.
     asleep: Cell<Option<Moment>>,
     earlier: Event,
@@ -31,7 +31,7 @@
 
 impl Timers {
     fn new() -> Self {
-        let wheel = RefCell::new(Wheel::new(Moment::default(), TICK));
+        let wheel = RefCell::new(TimerWheel::new(Moment::default(), TICK));
         Self { started: Instant::now(), wheel, asleep: Cell::new(None), earlier: Event::new() }
     }
 
@@ -40,8 +40,8 @@
         Moment::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
-    fn start(&self, at: Moment, waker: Waker) -> Key {
-        let key = self.wheel.borrow_mut().start(at, waker);
+    fn start(&self, at: Moment, waker: Waker) -> TimerKey {
+        let key = self.wheel.borrow_mut().insert(at, waker);
         if self.asleep.get().is_some_and(|until| at < until) {
             self.earlier.notify(1);
         }
@@ -57,10 +57,10 @@
             let now = timers.now();
             while woken < STEP {
                 woken += 1;
-                let Some(waker) = timers.wheel.borrow_mut().next(now, STEP) else { break };
+                let Some(waker) = timers.wheel.borrow_mut().pop_expired(now, STEP) else { break };
                 waker.wake();
             }
-            let due = timers.wheel.borrow().due();
+            let due = timers.wheel.borrow().next_wake();
             let due = due.unwrap_or(now + Span::from_micros(60_000_000));
             timers.asleep.set((due > now).then_some(due));
             (due > now).then(|| timers.started + Duration::from_micros(due.since(Moment::default()).micros()))
@@ -80,7 +80,7 @@
 /// Ends when its time has come. Dropped before, it leaves nothing behind.
 pub struct Until {
     at: Moment,
-    key: Option<Key>,
+    key: Option<TimerKey>,
 }
 
 /// Ends when the span has passed.
--- a/crates/router/tests/stories/main.rs
+++ b/crates/router/tests/stories/main.rs
@@ -374,13 +374,13 @@
 #[test]
 fn a_message_is_whole_at_its_last_byte_and_nothing_else_panics() {
     let message = Client::message(70_000, "look", "9b1f03aa5c7e2d41", 3_000, &"x".repeat(300));
-    let whole = |bytes: &[u8]| codec::whole(bytes, &mut codec::Scan::default(), &mut 0);
-    let (mut scan, mut scanned) = (codec::Scan::default(), 0);
+    let whole = |bytes: &[u8]| codec::message_length(bytes, &mut codec::MessageScanner::default(), &mut 0);
+    let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     for length in 0..message.len() {
         assert!(matches!(whole(&message[..length]), Ok(None)), "{length}");
-        assert!(matches!(codec::whole(&message[..length], &mut scan, &mut scanned), Ok(None)), "{length}");
+        assert!(matches!(codec::message_length(&message[..length], &mut scan, &mut scanned), Ok(None)), "{length}");
     }
-    assert!(matches!(codec::whole(&message, &mut scan, &mut scanned), Ok(Some(n)) if n == message.len()));
+    assert!(matches!(codec::message_length(&message, &mut scan, &mut scanned), Ok(Some(n)) if n == message.len()));
     assert!(matches!(whole(&[message.as_slice(), b"next"].concat()), Ok(Some(n)) if n == message.len()));
     for (place, byte) in (0..message.len()).flat_map(|place| (0..=255).map(move |byte| (place, byte))) {
         let mut changed = message.clone();
--- a/crates/standins/examples/wheel.rs
+++ b/crates/standins/examples/wheel.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
-use woadhook_pace::wheel::Wheel;
+use woadhook_flow_control::timer_wheel::TimerWheel;
 
 /// Nanoseconds each of starting so many, moving each once (as a connection does with each read), and ending all.
 type Figures = [f64; 3];
@@ -32,18 +32,18 @@
 }
 
 fn wheel(first: &[u64], second: &[u64]) -> Figures {
-    let (count, mut wheel) = (first.len(), Wheel::new(at(0), Span::from_micros(1_000)));
+    let (count, mut wheel) = (first.len(), TimerWheel::new(at(0), Span::from_micros(1_000)));
     let mut keys = Vec::with_capacity(count);
-    let start = each(count, || keys.extend(first.iter().map(|due| wheel.start(at(*due), *due))));
+    let start = each(count, || keys.extend(first.iter().map(|due| wheel.insert(at(*due), *due))));
     let moved = each(count, || {
         for (key, due) in keys.iter().zip(second) {
-            black_box(wheel.restart(*key, at(*due)));
+            black_box(wheel.reschedule(*key, at(*due)));
         }
     });
     let end = each(count, || {
         for now in (0..61_000).map(|millis| at(millis * 1_000)) {
-            while wheel.due().is_some_and(|due| due <= now) {
-                black_box(wheel.next(now, usize::MAX));
+            while wheel.next_wake().is_some_and(|due| due <= now) {
+                black_box(wheel.pop_expired(now, usize::MAX));
             }
         }
     });
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -88,15 +88,15 @@
     pub fn takes_all(&mut self, most: u32) -> usize {
         let mut bytes = Vec::new();
         let mut piece = [0; 16 * 1024];
-        let (mut whole, mut scan, mut scanned) = (0, codec::Scan::default(), 0);
+        let (mut whole, mut scan, mut scanned) = (0, codec::MessageScanner::default(), 0);
         while whole < most as usize {
             match self.0.read(&mut piece) {
                 Ok(0) | Err(_) => break,
                 Ok(count) => bytes.extend_from_slice(&piece[..count]),
             }
-            while let Ok(Some(length)) = codec::whole(&bytes, &mut scan, &mut scanned) {
+            while let Ok(Some(length)) = codec::message_length(&bytes, &mut scan, &mut scanned) {
                 bytes.drain(..length);
-                (scan, scanned) = (codec::Scan::default(), 0);
+                (scan, scanned) = (codec::MessageScanner::default(), 0);
                 whole += 1;
                 if bytes.is_empty() {
                     break;
@@ -163,21 +163,21 @@
 /// The next answer, which must be to this message: whether it is a result.
 pub fn hear(stream: &mut impl Read, number: u32) -> io::Result<bool> {
     let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
-    let (mut scan, mut scanned) = (codec::Scan::default(), 0);
+    let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     loop {
         let count = stream.read(&mut piece)?;
         if count == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         bytes.extend_from_slice(&piece[..count]);
-        if let Some(length) = codec::whole(&bytes, &mut scan, &mut scanned).expect("what can be read") {
+        if let Some(length) = codec::message_length(&bytes, &mut scan, &mut scanned).expect("what can be read") {
             assert_eq!(length, bytes.len(), "one answer to one job");
             break;
         }
     }
     let mut message = &bytes[..];
-    assert_eq!(codec::array(&mut message).expect("an answer"), 4);
-    assert_eq!(codec::number(&mut message).expect("an answer"), 1);
-    assert_eq!(codec::number(&mut message).expect("an answer"), number, "the answer to this job");
+    assert_eq!(codec::read_array_len(&mut message).expect("an answer"), 4);
+    assert_eq!(codec::read_u32(&mut message).expect("an answer"), 1);
+    assert_eq!(codec::read_u32(&mut message).expect("an answer"), number, "the answer to this job");
     Ok(decode::read_marker(&mut message).is_ok_and(|marker| marker == Marker::Null))
 }
