--- a/crates/accord/src/acceptor.rs
+++ b/crates/accord/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use woadhook::{Moment, Span};
 
-use crate::state::{Ballot, StateNumber, Proposal, DecisionRecord, Voter};
+use crate::state::{Ballot, DecisionRecord, Proposal, StateNumber, Voter};
 
 /// Why a voter does not do what a proposer asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/accord/src/follower.rs
+++ b/crates/accord/src/follower.rs
@@ -106,8 +106,9 @@
         let sound = agreed.number.epoch == self.epoch && agreed.proposal.is_valid(self.most_content);
         let named = agreed.proposal.voters.iter().all(|voter| self.named.contains(&voter.node));
         // Threat: an epoch that was founded twice; who remembers the first must not take the second for its later states.
-        let follows =
-            |known: &DecidedState| agreed.number.is_later(known.number) && agreed.number.shares_history_with(known.number);
+        let follows = |known: &DecidedState| {
+            agreed.number.is_later(known.number) && agreed.number.shares_history_with(known.number)
+        };
         let later = self.believed.as_ref().is_none_or(follows);
         if !sound || !named || !later || self.candidates.contains(&agreed) || self.vouchers(&agreed) == 0 {
             return FollowerUpdate::Ignored;
@@ -147,7 +148,8 @@
         let digest = agreed.digest();
         let vouches = |voter: &&Voter| {
             self.warrants.get(&voter.node).is_some_and(|warrant| {
-                (warrant.incarnation, warrant.number, warrant.digest) == (voter.incarnation, agreed.number, digest)
+                (warrant.incarnation, warrant.number, warrant.digest)
+                    == (voter.incarnation, agreed.number, digest)
             })
         };
         agreed.proposal.voters.iter().filter(vouches).count()
@@ -176,8 +178,8 @@
             .iter()
             .filter_map(|voter| {
                 let warrant = self.warrants.get(&voter.node)?;
-                let fits =
-                    (warrant.incarnation, warrant.number, warrant.digest) == (voter.incarnation, agreed.number, digest);
+                let fits = (warrant.incarnation, warrant.number, warrant.digest)
+                    == (voter.incarnation, agreed.number, digest);
                 fits.then_some(Moment::from_micros(warrant.issued_at_us))
             })
             .collect();
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -12,13 +12,15 @@
 //! No I/O, clock or thread: [`Node::receive`] and the like take in, [`Node::next_action`] gives out, [`Node::next_deadline`] says when it wants
 //! to be asked again.
 
-pub mod state;
+pub mod acceptor;
 pub mod follower;
+pub mod messages;
 pub mod node;
 pub mod proposer;
-pub mod acceptor;
-pub mod messages;
+pub mod state;
 
-pub use crate::state::{DecidedState, Ballot, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, Voter};
-pub use crate::follower::{Follower, Attestation};
-pub use crate::node::{Action, Node, AccordConfig, EventKind};
+pub use crate::follower::{Attestation, Follower};
+pub use crate::node::{AccordConfig, Action, EventKind, Node};
+pub use crate::state::{
+    Ballot, DecidedState, DecisionRecord, Incarnation, NodeId, Proposal, StateNumber, Voter,
+};
--- a/crates/accord/src/messages.rs
+++ b/crates/accord/src/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::{Ballot, Incarnation, StateNumber, Proposal, DecisionRecord, Voter};
+use crate::state::{Ballot, DecisionRecord, Incarnation, Proposal, StateNumber, Voter};
 
 /// The version of this protocol; words of another are passed over.
 const VERSION: u8 = 1;
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -6,11 +6,14 @@
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
 
-use crate::state::{DecidedState, Ballot, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, MAX_VOTERS, Voter, micros};
-use crate::follower::Attestation;
-use crate::proposer::Proposer;
 use crate::acceptor::{Acceptor, VoteRefusal};
+use crate::follower::Attestation;
 use crate::messages::{Said, read, write};
+use crate::proposer::Proposer;
+use crate::state::{
+    Ballot, DecidedState, DecisionRecord, Incarnation, MAX_VOTERS, NodeId, Proposal, StateNumber, Voter,
+    micros,
+};
 
 /// Periods without a word after which a voter counts as gone, and after which a majority counts as lost.
 const GONE_PERIODS: f64 = 4.0;
@@ -236,13 +239,19 @@
     fn lives(&self, now: Moment, voter: Voter) -> bool {
         let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
         voter == self.me
-            || self.heard.get(&voter.node).filter(recent).is_some_and(|heard| heard.incarnation == voter.incarnation)
+            || self
+                .heard
+                .get(&voter.node)
+                .filter(recent)
+                .is_some_and(|heard| heard.incarnation == voter.incarnation)
     }
 
     /// Wants `content` decided as what follows `after`. What comes of it is [`Action::Decided`]; where another proposal came
     /// first, [`EventKind::Overtaken`] says so, and the host looks again at what it wants.
     pub fn propose(&mut self, now: Moment, after: StateNumber, content: Vec<u8>) -> Result<(), ProposeError> {
-        let Some(latest) = self.latest().filter(|_| self.is_voter()) else { return Err(ProposeError::NotAVoter) };
+        let Some(latest) = self.latest().filter(|_| self.is_voter()) else {
+            return Err(ProposeError::NotAVoter);
+        };
         if latest.number != after {
             return Err(ProposeError::StateChanged);
         }
@@ -372,7 +381,8 @@
             return;
         }
         let voter = |name: &NodeId| {
-            let incarnation = self.enlisted.get(name).map_or(self.me.incarnation, |(incarnation, _)| *incarnation);
+            let incarnation =
+                self.enlisted.get(name).map_or(self.me.incarnation, |(incarnation, _)| *incarnation);
             Voter { node: *name, incarnation }
         };
         let voters: Vec<Voter> = self.named.iter().map(voter).collect();
@@ -441,7 +451,9 @@
     }
 
     /// A proposer asks for a promise, or to have its proposal accepted.
-    fn asked(&mut self, now: Moment, by: Voter, number: StateNumber, ballot: Ballot, proposal: Option<Proposal>) {
+    fn asked(
+        &mut self, now: Moment, by: Voter, number: StateNumber, ballot: Ballot, proposal: Option<Proposal>,
+    ) {
         // Who heard of a later epoch votes in no earlier one.
         if ballot.by != by || number.epoch != self.epoch {
             return;
@@ -460,7 +472,9 @@
         };
         match said {
             Ok(said) => self.send(by.node, &said),
-            Err(VoteRefusal::HigherBallot(by_whom)) => self.send(by.node, &Said::Outbid { number, by: by_whom }),
+            Err(VoteRefusal::HigherBallot(by_whom)) => {
+                self.send(by.node, &Said::Outbid { number, by: by_whom })
+            }
             Err(VoteRefusal::OtherNumber) => {
                 let behind = self.latest().is_some_and(|own| !number.is_later(own.number));
                 if let Some(settled) = self.acceptor.latest().filter(|_| behind).cloned() {
@@ -475,7 +489,8 @@
         &mut self, now: Moment, voter: Voter, number: StateNumber, ballot: Ballot,
         accepted: Option<(Ballot, Proposal)>,
     ) {
-        let sound = accepted.as_ref().is_none_or(|(_, proposal)| proposal.is_valid(self.pace.max_content_bytes));
+        let sound =
+            accepted.as_ref().is_none_or(|(_, proposal)| proposal.is_valid(self.pace.max_content_bytes));
         let own = self.bid.as_mut().map(|bid| &mut bid.proposer);
         let Some(bid) = own.filter(|bid| bid.number == number && sound) else { return };
         let Some(proposal) = bid.receive_promise(voter, ballot, accepted) else { return };
@@ -524,7 +539,8 @@
     fn give_up_bid(&mut self, now: Moment) {
         if self.bid.take().is_some() {
             self.failed = (self.failed + 1).min(DOUBLINGS);
-            let pause = self.pace.heartbeat_period.mul_f64(f64::from(1 << self.failed) * self.chance.random::<f64>());
+            let pause =
+                self.pace.heartbeat_period.mul_f64(f64::from(1 << self.failed) * self.chance.random::<f64>());
             self.bid_at = now + pause;
         }
     }
@@ -550,9 +566,12 @@
             if *name == self.me.node {
                 return Some(self.me);
             }
-            let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
+            let recent =
+                |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
             let heard = self.heard.get(name).filter(recent);
-            heard.map(|heard| Voter { node: *name, incarnation: heard.incarnation }).or_else(|| of_latest(name))
+            heard
+                .map(|heard| Voter { node: *name, incarnation: heard.incarnation })
+                .or_else(|| of_latest(name))
         });
         due.collect()
     }
@@ -613,10 +632,14 @@
             self.found(now);
             Said::Enlist { epoch: self.epoch, knows }
         } else {
-            let recent =
-                |(_, heard): &(&NodeId, &Heard)| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
-            let hears =
-                self.heard.iter().filter(recent).map(|(name, heard)| Voter { node: *name, incarnation: heard.incarnation });
+            let recent = |(_, heard): &(&NodeId, &Heard)| {
+                now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS)
+            };
+            let hears = self
+                .heard
+                .iter()
+                .filter(recent)
+                .map(|(name, heard)| Voter { node: *name, incarnation: heard.incarnation });
             Said::Beat { knows: number, hears: hears.collect(), fit: self.fit(now) }
         };
         if named {
--- a/crates/accord/src/proposer.rs
+++ b/crates/accord/src/proposer.rs
@@ -4,7 +4,7 @@
 
 use woadhook::Moment;
 
-use crate::state::{DecidedState, Ballot, StateNumber, Proposal, DecisionRecord, Voter, micros};
+use crate::state::{Ballot, DecidedState, DecisionRecord, Proposal, StateNumber, Voter, micros};
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Stage {
@@ -78,7 +78,9 @@
     }
 
     /// A voter accepted. Gives the decided state, when a majority has.
-    pub fn receive_accepted(&mut self, voter: Voter, ballot: Ballot, attested_until: Moment) -> Option<DecisionRecord> {
+    pub fn receive_accepted(
+        &mut self, voter: Voter, ballot: Ballot, attested_until: Moment,
+    ) -> Option<DecisionRecord> {
         if !self.counts(voter, ballot) {
             return None;
         }
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -6,12 +6,20 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
-use woadhook_accord::{DecidedState, Action, Follower, Incarnation, NodeId, Node, StateNumber, AccordConfig, Voter, Attestation, EventKind};
+use woadhook_accord::{
+    AccordConfig, Action, Attestation, DecidedState, EventKind, Follower, Incarnation, Node, NodeId,
+    StateNumber, Voter,
+};
 
 pub const START: u64 = 1_780_000_000_000_000;
 
 pub fn pace() -> AccordConfig {
-    AccordConfig { heartbeat_period: millis(100), lease: millis(6_000), clock_tolerance: millis(2_000), max_content_bytes: 640 }
+    AccordConfig {
+        heartbeat_period: millis(100),
+        lease: millis(6_000),
+        clock_tolerance: millis(2_000),
+        max_content_bytes: 640,
+    }
 }
 
 pub fn millis(count: u64) -> Span {
@@ -110,7 +118,8 @@
         let drawn = self.now.since(Moment::default()).micros() << 8 | self.chance.random_range(0..256_u64);
         let me = Voter { node: NodeId(place as u64), incarnation: Incarnation(drawn) };
         let seed = self.chance.random();
-        let mut follower = Follower::new(self.pace.clock_tolerance, self.pace.lease, self.pace.max_content_bytes);
+        let mut follower =
+            Follower::new(self.pace.clock_tolerance, self.pace.lease, self.pace.max_content_bytes);
         follower.apply_voter_set(self.epoch, &self.names());
         let mut node = Node::new(now, seed, me, self.pace);
         if place < self.voters {
--- a/crates/accord/tests/leases.rs
+++ b/crates/accord/tests/leases.rs
@@ -5,9 +5,12 @@
 
 use stateright::{Checker, Model, Property};
 use woadhook::{Moment, Span};
-use woadhook_accord::proposer::Proposer;
 use woadhook_accord::acceptor::Acceptor;
-use woadhook_accord::{DecidedState, Ballot, Follower, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, Voter, Attestation};
+use woadhook_accord::proposer::Proposer;
+use woadhook_accord::{
+    Attestation, Ballot, DecidedState, DecisionRecord, Follower, Incarnation, NodeId, Proposal, StateNumber,
+    Voter,
+};
 
 const VOTERS: usize = 3;
 /// One tick is the clocks' tolerance; the time is the ticks.
@@ -123,7 +126,12 @@
                 let number = next.acceptors[place].attest(now)?;
                 let agreed = state(number.step);
                 let said = (next.time + next.ahead[place]) * TICK;
-                let warrant = Attestation { incarnation: Incarnation(0), number, digest: agreed.digest(), issued_at_us: said };
+                let warrant = Attestation {
+                    incarnation: Incarnation(0),
+                    number,
+                    digest: agreed.digest(),
+                    issued_at_us: said,
+                };
                 let heard = next.now(VOTERS);
                 next.follower.receive_attestation(heard, NodeId(place as u64), warrant);
                 next.follower.receive_state(agreed);
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -5,9 +5,11 @@
 
 use stateright::{Checker, Model, Property};
 use woadhook::{Moment, Span};
-use woadhook_accord::proposer::Proposer;
 use woadhook_accord::acceptor::Acceptor;
-use woadhook_accord::{DecidedState, Ballot, Incarnation, NodeId, StateNumber, Proposal, DecisionRecord, Voter};
+use woadhook_accord::proposer::Proposer;
+use woadhook_accord::{
+    Ballot, DecidedState, DecisionRecord, Incarnation, NodeId, Proposal, StateNumber, Voter,
+};
 
 const VOTERS: usize = 3;
 
@@ -52,7 +54,10 @@
 fn first() -> DecisionRecord {
     let number = StateNumber { epoch: 1, step: 0, founding_id: 9 };
     let voters = (0..VOTERS).map(|place| voter(place, 0)).collect();
-    DecisionRecord { state: DecidedState { number, proposal: Proposal { voters, content: vec![] } }, previous_lease_end_us: 0 }
+    DecisionRecord {
+        state: DecidedState { number, proposal: Proposal { voters, content: vec![] } },
+        previous_lease_end_us: 0,
+    }
 }
 
 fn now() -> Moment {
@@ -119,7 +124,8 @@
                 state.words.insert(Word::Accepted { to: by, voter, ballot });
             }
             Happens::Comes(Word::Accepted { to, voter, ballot }) => {
-                let settled = state.proposers[to].as_mut()?.receive_accepted(voter, ballot, Moment::default());
+                let settled =
+                    state.proposers[to].as_mut()?.receive_accepted(voter, ballot, Moment::default());
                 state.decided.extend(settled.map(|settled| settled.state));
             }
         }
--- a/crates/accord/tests/scenarios.rs
+++ b/crates/accord/tests/scenarios.rs
@@ -5,11 +5,12 @@
 use common::{World, millis, pace};
 use rand::RngExt;
 use woadhook::Moment;
+use woadhook_accord::acceptor::{Acceptor, VoteRefusal};
 use woadhook_accord::node::ProposeError;
 use woadhook_accord::proposer::Proposer;
-use woadhook_accord::acceptor::{Acceptor, VoteRefusal};
 use woadhook_accord::{
-    DecidedState, Ballot, Follower, Incarnation, NodeId, Node, StateNumber, AccordConfig, Proposal, DecisionRecord, Voter, Attestation, EventKind,
+    AccordConfig, Attestation, Ballot, DecidedState, DecisionRecord, EventKind, Follower, Incarnation, Node,
+    NodeId, Proposal, StateNumber, Voter,
 };
 
 const LONG: u64 = 60_000;
@@ -197,7 +198,11 @@
         );
     }
     let settled = settled.unwrap();
-    assert_eq!(Moment::from_micros(settled.previous_lease_end_us), later + lease, "the latest warrant counts");
+    assert_eq!(
+        Moment::from_micros(settled.previous_lease_end_us),
+        later + lease,
+        "the latest warrant counts"
+    );
     acceptors.iter_mut().for_each(|acceptor| assert!(acceptor.learn(settled.clone())));
     let second = next.next().unwrap();
     let ballot = Ballot { round: 2, by: voters[1] };
@@ -236,7 +241,8 @@
 fn a_flood_of_states_leaves_one_that_waits_for_its_majority() {
     let now = Moment::from_micros(common::START);
     let names: Vec<NodeId> = (0..3).map(NodeId).collect();
-    let voters: Vec<Voter> = names.iter().map(|name| Voter { node: *name, incarnation: Incarnation(1) }).collect();
+    let voters: Vec<Voter> =
+        names.iter().map(|name| Voter { node: *name, incarnation: Incarnation(1) }).collect();
     let state = |step: u64| DecidedState {
         number: StateNumber { epoch: 1, step, founding_id: 1 },
         proposal: Proposal { voters: voters.clone(), content: vec![] },
@@ -245,7 +251,12 @@
     follower.apply_voter_set(1, &names);
     let truth = state(5);
     let said = now.since(Moment::default()).micros();
-    let warrant = Attestation { incarnation: Incarnation(1), number: truth.number, digest: truth.digest(), issued_at_us: said };
+    let warrant = Attestation {
+        incarnation: Incarnation(1),
+        number: truth.number,
+        digest: truth.digest(),
+        issued_at_us: said,
+    };
     follower.receive_attestation(now, NodeId(0), warrant);
     follower.receive_state(truth.clone());
     (100..200).for_each(|step| _ = follower.receive_state(state(step)));
@@ -346,7 +357,12 @@
     forged.proposal.content = b"forged".to_vec();
     // One not named, and one named voter against the majority.
     let said = now.since(Moment::default()).micros();
-    let warrant = |incarnation| Attestation { incarnation, number: forged.number, digest: forged.digest(), issued_at_us: said };
+    let warrant = |incarnation| Attestation {
+        incarnation,
+        number: forged.number,
+        digest: forged.digest(),
+        issued_at_us: said,
+    };
     for name in [4, 5, 6] {
         follower.receive_attestation(now, NodeId(name), warrant(Incarnation(1)));
     }
--- a/crates/gossip/src/belong.rs
+++ b/crates/gossip/src/belong.rs
@@ -5,11 +5,11 @@
 use rand::RngExt;
 use woadhook::Moment;
 
-use crate::instance::{Gossip, EventKind};
+use crate::instance::{EventKind, Gossip};
 use crate::keys::{Identity, MemberId, Revocation, TrustStore};
 use crate::members::NOBODY;
 use crate::news::About;
-use crate::wire::{MemberRecord, DatagramKind};
+use crate::wire::{DatagramKind, MemberRecord};
 
 impl Gossip {
     /// New keys, as read again. A key that is no longer this instance's leaves.
--- a/crates/gossip/src/hear.rs
+++ b/crates/gossip/src/hear.rs
@@ -6,12 +6,13 @@
 use rand::RngExt;
 use woadhook::Moment;
 
-use crate::instance::{Behind, Action, Errand, Gossip, Probe, EventKind};
+use crate::instance::{Action, Behind, Errand, EventKind, Gossip, Probe};
 use crate::keys::MemberId;
 use crate::members::{self, Change, Charge, LEAST_CREDIT, NOBODY, State, runs_ahead};
 use crate::news::About;
 use crate::wire::{
-    self, Accusation, MemberRecord, MAX_DATAGRAM_BYTES, Envelope, DatagramKind, PADDED_PING_BYTES, Item, ItemTag, TaggedItem, Observation, envelope_bytes,
+    self, Accusation, DatagramKind, Envelope, Item, ItemTag, MAX_DATAGRAM_BYTES, MemberRecord, Observation,
+    PADDED_PING_BYTES, TaggedItem, envelope_bytes,
 };
 use crate::words::Refused;
 
@@ -40,8 +41,8 @@
             self.counts.untimely += 1;
             return;
         }
-        let Some(card) =
-            MemberRecord::read(envelope.card).filter(|card| card.id == envelope.sender && card.id != self.id())
+        let Some(card) = MemberRecord::read(envelope.card)
+            .filter(|card| card.id == envelope.sender && card.id != self.id())
         else {
             self.counts.foreign += 1;
             return;
@@ -110,8 +111,8 @@
     }
 
     pub(crate) fn answer(
-        &mut self, now: Moment, from: SocketAddr, card: &MemberRecord, envelope: &Envelope<'_>, length: usize,
-        was_gone: bool,
+        &mut self, now: Moment, from: SocketAddr, card: &MemberRecord, envelope: &Envelope<'_>,
+        length: usize, was_gone: bool,
     ) {
         let Some(member) = self.members.get_mut(card.id) else { return };
         // Only who got the datagram of that mark, and has the key, can tell it: the address is proven.
@@ -121,7 +122,11 @@
         if ours && member.card.address == from {
             member.proven = true;
         }
-        let most = if member.proven && member.card.address == from { MAX_DATAGRAM_BYTES } else { length.min(MAX_DATAGRAM_BYTES) };
+        let most = if member.proven && member.card.address == from {
+            MAX_DATAGRAM_BYTES
+        } else {
+            length.min(MAX_DATAGRAM_BYTES)
+        };
         let mut first = Vec::new();
         if was_gone {
             let accusation = Accusation::issue(&self.own, card.id, card.incarnation, now);
@@ -129,7 +134,17 @@
         }
         match envelope.kind {
             DatagramKind::Ping => {
-                self.send_within(now, DatagramKind::Ack, card.id, from, envelope.mark(), NOBODY, first, 0, most);
+                self.send_within(
+                    now,
+                    DatagramKind::Ack,
+                    card.id,
+                    from,
+                    envelope.mark(),
+                    NOBODY,
+                    first,
+                    0,
+                    most,
+                );
             }
             DatagramKind::Ack => {
                 let re = envelope.re;
@@ -156,22 +171,35 @@
                 };
                 let fill = if reached { 0 } else { PADDED_PING_BYTES };
                 let (re, member) = (envelope.mark(), envelope.about);
-                if let Some(mark) = self.send(now, DatagramKind::Ping, member, to, 0, NOBODY, Vec::new(), fill) {
+                if let Some(mark) =
+                    self.send(now, DatagramKind::Ping, member, to, 0, NOBODY, Vec::new(), fill)
+                {
                     self.errands.push_back(Errand { mark, for_whom: from, member, re, sent: now });
                 }
             }
             DatagramKind::Pull => {
                 // An address that is proven gets a few pages at once; any other no more than it sent.
-                let pages = if most == MAX_DATAGRAM_BYTES && self.members.get(card.id).is_some_and(|m| m.proven) {
-                    PAGES
-                } else {
-                    1
-                };
+                let pages =
+                    if most == MAX_DATAGRAM_BYTES && self.members.get(card.id).is_some_and(|m| m.proven) {
+                        PAGES
+                    } else {
+                        1
+                    };
                 let mut cursor = envelope.about;
                 for _ in 0..pages {
                     let (cards, next) = self.page(cursor, card.id, most);
                     cursor = next;
-                    self.send_within(now, DatagramKind::Page, card.id, from, envelope.mark(), cursor, cards, 0, most);
+                    self.send_within(
+                        now,
+                        DatagramKind::Page,
+                        card.id,
+                        from,
+                        envelope.mark(),
+                        cursor,
+                        cards,
+                        0,
+                        most,
+                    );
                     if cursor == NOBODY {
                         break;
                     }
@@ -352,7 +380,9 @@
         let Some(witness) = self.members.get(word.reporter) else { return };
         let (key, who, credit) = (witness.card.pass.key, witness.who, witness.credit());
         let refused = self.words.may_take(now, word);
-        if credit < LEAST_CREDIT || refused.is_err() || runs_ahead(word.incarnation, now, self.pace.clock_tolerance)
+        if credit < LEAST_CREDIT
+            || refused.is_err()
+            || runs_ahead(word.incarnation, now, self.pace.clock_tolerance)
         {
             self.counts.words_refused += u64::from(refused != Err(Refused::Told));
             return;
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -10,11 +10,14 @@
 
 use crate::budget::Bucket;
 use crate::bytes::Writer;
-use crate::keys::{Identity, MemberId, VoterSet, Revocation, TrustStore, micros};
+use crate::keys::{Identity, MemberId, Revocation, TrustStore, VoterSet, micros};
 use crate::members::{Members, NOBODY};
 use crate::news::{About, News};
 use crate::observe::Observer;
-use crate::wire::{self, MemberRecord, MAX_DATAGRAM_BYTES, DatagramKind, EngineCondition, TaggedItem, envelope_bytes, encode_signed};
+use crate::wire::{
+    self, DatagramKind, EngineCondition, MAX_DATAGRAM_BYTES, MemberRecord, TaggedItem, encode_signed,
+    envelope_bytes,
+};
 use crate::words::Words;
 
 /// Signatures may be saved up for so long, and datagrams.
@@ -314,7 +317,8 @@
     }
 
     pub(crate) fn event(
-        &mut self, kind: EventKind, member: Option<String>, engine: Option<&str>, condition: Option<EngineCondition>,
+        &mut self, kind: EventKind, member: Option<String>, engine: Option<&str>,
+        condition: Option<EngineCondition>,
     ) {
         self.todo.push_back(Action::Event { kind, member, engine: engine.map(str::to_owned), condition });
     }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -250,7 +250,8 @@
 impl Revocation {
     pub fn issue(operator: &SecretKey, key: &[u8; 32], cluster: ClusterId, until: Moment) -> Self {
         let signer = MemberId::of_key(&operator.public());
-        let mut revocation = Self { member: MemberId::of_key(key), cluster, until, signer, signature: [0; 64] };
+        let mut revocation =
+            Self { member: MemberId::of_key(key), cluster, until, signer, signature: [0; 64] };
         revocation.signature = operator.sign(Sealed::Revocation, &revocation.body());
         revocation
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -22,5 +22,5 @@
 pub mod wire;
 pub mod words;
 
-pub use crate::instance::{Counters, Action, Gossip, GossipConfig, EventKind};
+pub use crate::instance::{Action, Counters, EventKind, Gossip, GossipConfig};
 pub use crate::wire::EngineCondition;
--- a/crates/gossip/src/observe.rs
+++ b/crates/gossip/src/observe.rs
@@ -89,7 +89,9 @@
             let (ends, told) = (own.turned_away, own.claims.get(&None).map(|claim| claim.seen));
             if ends.is_good() {
                 let over = told == Some(EngineCondition::Refusing);
-                says.extend(over.then(|| claim(own, now, engine, None, EngineCondition::Well, u8::MAX)).flatten());
+                says.extend(
+                    over.then(|| claim(own, now, engine, None, EngineCondition::Well, u8::MAX)).flatten(),
+                );
             } else if ends.is_bad() {
                 says.extend(claim(own, now, engine, None, EngineCondition::Refusing, sure(ends)));
             }
@@ -113,7 +115,8 @@
     pub fn repeat(&mut self, now: Moment, every: Span) -> Vec<Say> {
         let mut says = Vec::new();
         for (engine, own) in &mut self.engines {
-            let judged = |claim: &Claim| matches!(claim.seen, EngineCondition::Silent | EngineCondition::Reset);
+            let judged =
+                |claim: &Claim| matches!(claim.seen, EngineCondition::Silent | EngineCondition::Reset);
             own.claims.retain(|_, claim| judged(claim) || now.since(claim.borne_out) < every);
             for (of, claim) in own.claims.iter_mut().filter(|(_, claim)| now.since(claim.told) >= every) {
                 claim.told = now;
@@ -129,7 +132,9 @@
 }
 
 /// What is to be said of a claim, if it is not what was said before.
-fn claim(own: &mut Own, now: Moment, engine: &str, of: Option<String>, seen: EngineCondition, sure: u8) -> Option<Say> {
+fn claim(
+    own: &mut Own, now: Moment, engine: &str, of: Option<String>, seen: EngineCondition, sure: u8,
+) -> Option<Say> {
     let before = own.claims.get_mut(&of).map(|claim| {
         claim.borne_out = now;
         claim.seen
--- a/crates/gossip/src/own.rs
+++ b/crates/gossip/src/own.rs
@@ -2,7 +2,7 @@
 
 use woadhook::{Moment, Outcome};
 
-use crate::instance::{Gossip, EventKind};
+use crate::instance::{EventKind, Gossip};
 use crate::keys::MemberId;
 use crate::members::LEAST_CREDIT;
 use crate::news::About;
@@ -72,7 +72,8 @@
         }
         let after = member.credit();
         let name = member.card.pass.name.clone();
-        let what = if borne_out { EventKind::ObservationConfirmed } else { EventKind::ObservationContradicted };
+        let what =
+            if borne_out { EventKind::ObservationConfirmed } else { EventKind::ObservationContradicted };
         self.event(what, Some(name.clone()), Some(engine), None);
         if before >= LEAST_CREDIT && after < LEAST_CREDIT {
             self.event(EventKind::MemberDistrusted, Some(name), None, None);
@@ -91,8 +92,17 @@
         self.word_number += 1;
         let came_up = self.words.came_up(&engine).unwrap_or_default();
         let (incarnation, number) = (self.card.incarnation, self.word_number);
-        let word =
-            Observation::issue(&self.own, incarnation, number, now, &engine, came_up, seen, of.as_deref(), sure);
+        let word = Observation::issue(
+            &self.own,
+            incarnation,
+            number,
+            now,
+            &engine,
+            came_up,
+            seen,
+            of.as_deref(),
+            sure,
+        );
         self.news.add(About::Observation(self.own.id(), engine.clone(), of), word.to_bytes().into());
         self.event(EventKind::ObservationSent, None, Some(&engine), Some(seen));
     }
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -6,11 +6,11 @@
 use rand::seq::SliceRandom;
 use woadhook::Moment;
 
-use crate::instance::{Behind, Action, Gossip, Probe, EventKind};
+use crate::instance::{Action, Behind, EventKind, Gossip, Probe};
 use crate::keys::MemberId;
 use crate::members::{Charge, Lapse, NOBODY, State};
 use crate::news::About;
-use crate::wire::{Accusation, MAX_DATAGRAM_BYTES, DatagramKind, PADDED_PING_BYTES};
+use crate::wire::{Accusation, DatagramKind, MAX_DATAGRAM_BYTES, PADDED_PING_BYTES};
 
 /// Others that are asked to ping a member that did not answer.
 const HELPERS: usize = 3;
@@ -111,7 +111,9 @@
         let part = now.since(self.swept).secs() / self.pace.observation_lifetime.secs().max(1e-3);
         self.members.regain_all(REGAIN * part);
         self.swept = now;
-        for (id, lapse, card) in self.members.lapse(now, suspicion, self.pace.forget_after, self.pace.clock_tolerance) {
+        for (id, lapse, card) in
+            self.members.lapse(now, suspicion, self.pace.forget_after, self.pace.clock_tolerance)
+        {
             let what = match lapse {
                 Lapse::Gone => EventKind::MemberGone,
                 Lapse::Cleared => EventKind::MemberRefuted,
--- a/crates/gossip/src/voters.rs
+++ b/crates/gossip/src/voters.rs
@@ -7,7 +7,7 @@
 use crate::keys::{MemberId, VoterSet, micros};
 use crate::members::NOBODY;
 use crate::news::About;
-use crate::wire::{DatagramKind, Notice, ItemTag};
+use crate::wire::{DatagramKind, ItemTag, Notice};
 
 /// Subjects of notices.
 pub const SUBJECTS: u8 = 4;
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -7,7 +7,7 @@
 use woadhook::Moment;
 
 use crate::bytes::{Reader, Writer};
-use crate::keys::{ClusterId, Identity, MemberId, VoterSet, Pass, Revocation, Sealed, micros, verify};
+use crate::keys::{ClusterId, Identity, MemberId, Pass, Revocation, Sealed, VoterSet, micros, verify};
 
 /// The largest datagram, in bytes: fits the least MTU of IPv6 with room for tunnels.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
@@ -36,9 +36,16 @@
 
 impl DatagramKind {
     fn from(byte: u8) -> Option<Self> {
-        [DatagramKind::Ping, DatagramKind::Ack, DatagramKind::PingRequest, DatagramKind::Pull, DatagramKind::Page, DatagramKind::Direct]
-            .into_iter()
-            .find(|kind| *kind as u8 == byte)
+        [
+            DatagramKind::Ping,
+            DatagramKind::Ack,
+            DatagramKind::PingRequest,
+            DatagramKind::Pull,
+            DatagramKind::Page,
+            DatagramKind::Direct,
+        ]
+        .into_iter()
+        .find(|kind| *kind as u8 == byte)
     }
 }
 
@@ -175,9 +182,15 @@
 
 impl EngineCondition {
     fn from(byte: u8) -> Option<Self> {
-        [EngineCondition::Silent, EngineCondition::Reset, EngineCondition::Refusing, EngineCondition::Failing, EngineCondition::Well]
-            .into_iter()
-            .find(|seen| *seen as u8 == byte)
+        [
+            EngineCondition::Silent,
+            EngineCondition::Reset,
+            EngineCondition::Refusing,
+            EngineCondition::Failing,
+            EngineCondition::Well,
+        ]
+        .into_iter()
+        .find(|seen| *seen as u8 == byte)
     }
 
     /// Its stable name in log lines.
@@ -213,13 +226,24 @@
 
 impl Observation {
     pub fn issue(
-        own: &Identity, incarnation: u64, number: u64, at: Moment, engine: &str, came_up: Moment, condition: EngineCondition,
-        reservation_type: Option<&str>, confidence: u8,
+        own: &Identity, incarnation: u64, number: u64, at: Moment, engine: &str, came_up: Moment,
+        condition: EngineCondition, reservation_type: Option<&str>, confidence: u8,
     ) -> Self {
         let (engine, reservation_type) = (engine.to_owned(), reservation_type.map(str::to_owned));
         let reporter = own.id();
         let signature = [0; 64];
-        let mut new = Self { reporter, incarnation, number, at, engine, came_up, condition, reservation_type, confidence, signature };
+        let mut new = Self {
+            reporter,
+            incarnation,
+            number,
+            at,
+            engine,
+            came_up,
+            condition,
+            reservation_type,
+            confidence,
+            signature,
+        };
         new.signature = own.secret.sign(Sealed::Observation, &new.body());
         new
     }
--- a/crates/gossip/src/words.rs
+++ b/crates/gossip/src/words.rs
@@ -136,7 +136,9 @@
     }
 
     /// How many others say the same of an engine, in words that are still fresh.
-    pub fn agreeing(&self, now: Moment, engine: &str, of: Option<&str>, seen: EngineCondition, own: MemberId) -> usize {
+    pub fn agreeing(
+        &self, now: Moment, engine: &str, of: Option<&str>, seen: EngineCondition, own: MemberId,
+    ) -> usize {
         let kept = self.engines.get(engine).and_then(|heard| heard.words.get(&of.map(str::to_owned)));
         let same = |kept: &&Kept| kept.seen == seen && now.since(kept.said) <= self.lifetime.mul_f64(0.5);
         kept.into_iter().flatten().filter(same).filter(|kept| kept.witness != own).count()
@@ -150,7 +152,8 @@
         for word in kept.into_iter().flatten() {
             let credit = members.get(word.witness).map_or(0.0, |member| member.credit());
             let fresh = 1.0 - now.since(word.said.min(word.came)).secs() / self.lifetime.secs().max(1e-3);
-            let weight = if word.seen == EngineCondition::Well { 0.0 } else { credit * word.sure * fresh.max(0.0) };
+            let weight =
+                if word.seen == EngineCondition::Well { 0.0 } else { credit * word.sure * fresh.max(0.0) };
             let voice = voices.entry(word.who).or_insert((word.said, weight));
             if word.said >= voice.0 {
                 *voice = (word.said, weight);
@@ -162,7 +165,9 @@
 
     /// Those whose doubts on an engine, for a type or all, were heard before now; the words are dropped, their numbers
     /// kept as words that it is well.
-    pub fn settled(&mut self, engine: &str, of: Option<&str>, seen: impl Fn(EngineCondition) -> bool) -> Vec<MemberId> {
+    pub fn settled(
+        &mut self, engine: &str, of: Option<&str>, seen: impl Fn(EngineCondition) -> bool,
+    ) -> Vec<MemberId> {
         let Some(heard) = self.engines.get_mut(engine) else { return Vec::new() };
         let Some(kept) = heard.words.get_mut(&of.map(str::to_owned)) else { return Vec::new() };
         let mut by = Vec::new();
--- a/crates/gossip/tests/decisions.rs
+++ b/crates/gossip/tests/decisions.rs
@@ -40,7 +40,8 @@
         for turn in 0..30 {
             for engine in 0..6 {
                 let name = format!("s-{engine}");
-                let seen = if flapping && turn % 2 == 1 { EngineCondition::Well } else { EngineCondition::Silent };
+                let seen =
+                    if flapping && turn % 2 == 1 { EngineCondition::Well } else { EngineCondition::Silent };
                 world.cluster.at(3, |now, core| core.engine_judged(now, &name, seen));
             }
             world.pass(secs(0.7));
--- a/crates/gossip/tests/properties.rs
+++ b/crates/gossip/tests/properties.rs
@@ -8,7 +8,8 @@
 use woadhook_gossip::members::Window;
 use woadhook_gossip::news::{About, News, WAITING};
 use woadhook_gossip::wire::{
-    Accusation, MemberRecord, Envelope, DatagramKind, EngineCondition, Item, ItemTag, Observation, envelope_bytes, encode_signed,
+    Accusation, DatagramKind, EngineCondition, Envelope, Item, ItemTag, MemberRecord, Observation,
+    encode_signed, envelope_bytes,
 };
 use woadhook_standins::cluster::*;
 use woadhook_standins::net::Weather;
--- a/crates/gossip/tests/scenarios.rs
+++ b/crates/gossip/tests/scenarios.rs
@@ -4,11 +4,14 @@
 use std::rc::Rc;
 
 use woadhook::{Moment, Outcome, Span};
-use woadhook_gossip::keys::{Identity, MemberId, VoterSet, Pass, TrustStore, SecretKey};
+use woadhook_gossip::keys::{Identity, MemberId, Pass, SecretKey, TrustStore, VoterSet};
 use woadhook_gossip::members::{Lapse, Members};
 use woadhook_gossip::news::{About, News};
-use woadhook_gossip::wire::{Accusation, MemberRecord, MAX_DATAGRAM_BYTES, DatagramKind, PADDED_PING_BYTES, ItemTag, Observation, encode_signed};
-use woadhook_gossip::{Counters, Gossip, EngineCondition, EventKind};
+use woadhook_gossip::wire::{
+    Accusation, DatagramKind, ItemTag, MAX_DATAGRAM_BYTES, MemberRecord, Observation, PADDED_PING_BYTES,
+    encode_signed,
+};
+use woadhook_gossip::{Counters, EngineCondition, EventKind, Gossip};
 use woadhook_standins::cluster::*;
 use woadhook_standins::net::Weather;
 
@@ -36,12 +39,35 @@
 ) -> Vec<u8> {
     let card = MemberRecord::issue(own, address(200), now.since(Moment::default()).micros() / 1000, false);
     let statements: Vec<_> = statements.iter().map(|(tag, bytes)| (*tag, bytes.as_slice().into())).collect();
-    encode_signed(own, DatagramKind::Ping, to, now, number, 0, NOBODY, (1, 0), &card.bytes, &statements, PADDED_PING_BYTES).0
+    encode_signed(
+        own,
+        DatagramKind::Ping,
+        to,
+        now,
+        number,
+        0,
+        NOBODY,
+        (1, 0),
+        &card.bytes,
+        &statements,
+        PADDED_PING_BYTES,
+    )
+    .0
 }
 
 fn dead(own: &Identity, now: Moment, number: u64, engine: &str) -> (ItemTag, Vec<u8>) {
     let incarnation = now.since(Moment::default()).micros() / 1000;
-    let word = Observation::issue(own, incarnation, number, now, engine, Moment::default(), EngineCondition::Silent, None, 255);
+    let word = Observation::issue(
+        own,
+        incarnation,
+        number,
+        now,
+        engine,
+        Moment::default(),
+        EngineCondition::Silent,
+        None,
+        255,
+    );
     (ItemTag::Observation, word.to_bytes())
 }
 
@@ -207,7 +233,8 @@
     let other = woadhook_gossip::keys::ClusterId::from_name("elsewhere");
     let secret = secret(1);
     let pass = Pass::issue(&operator(), "n1", secret.public(), other, START, START + secs(9e6)).unwrap();
-    let elsewhere = Identity::new(secret, pass, &TrustStore::new(other, vec![operator().public()]), now).unwrap();
+    let elsewhere =
+        Identity::new(secret, pass, &TrustStore::new(other, vec![operator().public()]), now).unwrap();
     let foreign = datagram(&elsewhere, NOBODY, now, 8, &[dead(&elsewhere, now, 8, "e-1")]);
     cluster.at(0, |now, core| core.receive(now, address(1), &foreign));
     let after = cluster.core(0).counters();
@@ -360,15 +387,27 @@
             let now = cluster.now;
             let own = identity(liar as u64, &format!("n{liar}"), now);
             let victim = turn % 17;
-            let (subject, incarnation) = (cluster.core(victim).id(), cluster.core(victim).own_record().incarnation);
+            let (subject, incarnation) =
+                (cluster.core(victim).id(), cluster.core(victim).own_record().incarnation);
             let accusation = Accusation::issue(&own, subject, incarnation, now);
             let (own_card, target) = (cluster.core(liar).own_record(), (victim + 1 + turn) % 17);
             let statements = [(ItemTag::Accusation, accusation.to_bytes().into())];
             let to = cluster.core(target).id();
             let number = 1_000_000 + turn as u64;
-            let bytes =
-                encode_signed(&own, DatagramKind::Ping, to, now, number, 0, NOBODY, (20, 0), &own_card.bytes, &statements, 0)
-                    .0;
+            let bytes = encode_signed(
+                &own,
+                DatagramKind::Ping,
+                to,
+                now,
+                number,
+                0,
+                NOBODY,
+                (20, 0),
+                &own_card.bytes,
+                &statements,
+                0,
+            )
+            .0;
             let from = cluster.nodes[liar].address;
             cluster.inject(from, target, bytes);
         }
@@ -386,7 +425,8 @@
     let mut cluster = settled(30, 3);
     let now = cluster.now;
     let forger = identity(2, "n2", now);
-    let mut word = Observation::issue(&forger, 1, 99, now, "e-1", Moment::default(), EngineCondition::Silent, None, 255);
+    let mut word =
+        Observation::issue(&forger, 1, 99, now, "e-1", Moment::default(), EngineCondition::Silent, None, 255);
     word.reporter = cluster.core(1).id();
     let bytes = datagram(&forger, cluster.core(0).id(), now, 9, &[(ItemTag::Observation, word.to_bytes())]);
     let before = cluster.core(0).counters();
@@ -399,8 +439,9 @@
 #[test]
 fn one_witness_under_two_keys_ends_nobody_and_three_do() {
     let now = START + secs(60.0);
-    let card =
-        |number: u64, name: &str| Rc::new(MemberRecord::issue(&identity(number, name, now), address(1), 5, false));
+    let card = |number: u64, name: &str| {
+        Rc::new(MemberRecord::issue(&identity(number, name, now), address(1), 5, false))
+    };
     let accused = |witnesses: &[(u64, &str)]| {
         let mut members = Members::new(NOBODY, 20);
         let subject = card(1, "subject");
@@ -428,7 +469,8 @@
         let place = cluster.nodes[node].address;
         cluster.net.part(place, 1);
     }
-    let parted = |cluster: &Cluster| cluster.core(3).live_members() == 4 && cluster.core(8).live_members() == 5;
+    let parted =
+        |cluster: &Cluster| cluster.core(3).live_members() == 4 && cluster.core(8).live_members() == 5;
     assert!(cluster.until(secs(20.0), parted).is_some());
     cluster.net.heal();
     assert!(cluster.until(secs(30.0), Cluster::agree).is_some());
@@ -459,7 +501,8 @@
     assert!(late < 0.3, "ten seconds late, a word counts half of a fresh one at most: {late}");
     cluster.pass(secs(20.0));
     let others = |cluster: &Cluster| {
-        let knows = |node: usize| cluster.core(node).live_peers().filter(|(name, ..)| *name != "n5").count() == 4;
+        let knows =
+            |node: usize| cluster.core(node).live_peers().filter(|(name, ..)| *name != "n5").count() == 4;
         (0..5).all(knows)
     };
     assert!(others(&cluster));
@@ -511,8 +554,9 @@
             let place = cluster.nodes[39 - node].address;
             cluster.net.part(place, 1);
         }
-        let parted =
-            |cluster: &Cluster| cluster.core(0).live_members() == 40 - small && cluster.core(39).live_members() == small;
+        let parted = |cluster: &Cluster| {
+            cluster.core(0).live_members() == 40 - small && cluster.core(39).live_members() == small
+        };
         assert!(cluster.until(secs(30.0), parted).is_some(), "{small} of 40 cut off");
         cluster.kill(10);
         cluster.pass(secs(5.0));
@@ -552,11 +596,25 @@
     // A member's own words, sent again from an address that is not its own.
     let own = identity(29, "n29", now);
     let to = cluster.core(0).id();
-    for (number, kind) in [DatagramKind::Ping, DatagramKind::Pull, DatagramKind::PingRequest].into_iter().enumerate() {
+    for (number, kind) in
+        [DatagramKind::Ping, DatagramKind::Pull, DatagramKind::PingRequest].into_iter().enumerate()
+    {
         let card = MemberRecord::issue(&own, address(29), cluster.core(29).own_record().incarnation, false);
         let about = if kind == DatagramKind::PingRequest { cluster.core(3).id() } else { NOBODY };
-        let bytes =
-            encode_signed(&own, kind, to, now, 5_000 + number as u64, 0, about, (1, 0), &card.bytes, &[], 600).0;
+        let bytes = encode_signed(
+            &own,
+            kind,
+            to,
+            now,
+            5_000 + number as u64,
+            0,
+            about,
+            (1, 0),
+            &card.bytes,
+            &[],
+            600,
+        )
+        .0;
         let before = cluster.core(0).counters();
         cluster.at(0, |now, core| core.receive(now, address(250), &bytes));
         let after = cluster.core(0).counters();
@@ -575,7 +633,20 @@
     let own = identity(800, "n800", now);
     for number in 0..1000 {
         let card = MemberRecord::issue(&own, address(300 + number), 1_780_000_000_000 + number as u64, false);
-        let bytes = encode_signed(&own, DatagramKind::Ping, NOBODY, now, 1, 0, NOBODY, (1, 0), &card.bytes, &[], PADDED_PING_BYTES).0;
+        let bytes = encode_signed(
+            &own,
+            DatagramKind::Ping,
+            NOBODY,
+            now,
+            1,
+            0,
+            NOBODY,
+            (1, 0),
+            &card.bytes,
+            &[],
+            PADDED_PING_BYTES,
+        )
+        .0;
         cluster.at(0, |now, core| core.receive(now, address(300 + number), &bytes));
     }
     let after = cluster.core(0).counters();
@@ -614,7 +685,20 @@
     let stolen = identity(2, "n2", now);
     let far = now + Span::from_secs(1e7);
     let card = MemberRecord::issue(&stolen, address(2), far.since(Moment::default()).micros() / 1000, false);
-    let bytes = encode_signed(&stolen, DatagramKind::Ping, NOBODY, now, 1, 0, NOBODY, (1, 0), &card.bytes, &[], PADDED_PING_BYTES).0;
+    let bytes = encode_signed(
+        &stolen,
+        DatagramKind::Ping,
+        NOBODY,
+        now,
+        1,
+        0,
+        NOBODY,
+        (1, 0),
+        &card.bytes,
+        &[],
+        PADDED_PING_BYTES,
+    )
+    .0;
     let before = cluster.core(0).counters().not_admitted;
     cluster.at(0, |now, core| core.receive(now, address(2), &bytes));
     assert_eq!(cluster.core(0).counters().not_admitted, before + 1);
@@ -655,7 +739,8 @@
     let pass = Pass::issue(&operator(), "n", again.public(), tag(), now, now + secs(9.0)).unwrap();
     assert_eq!(Pass::from_text(&pass.to_text()).unwrap(), pass);
     assert!(Pass::issue(&operator(), "a b", again.public(), tag(), now, now + secs(9.0)).is_err());
-    let wrong = |secret: SecretKey, ring: TrustStore, at| Identity::new(secret, pass.clone(), &ring, at).err();
+    let wrong =
+        |secret: SecretKey, ring: TrustStore, at| Identity::new(secret, pass.clone(), &ring, at).err();
     assert!(wrong(self::secret(4), ring(), now).unwrap().contains("another key"));
     assert!(wrong(self::secret(3), TrustStore::new(tag(), vec![]), now).unwrap().contains("not signed"));
     assert!(wrong(self::secret(3), ring(), now + secs(10.0)).unwrap().contains("ended"));
--- a/crates/host/src/instance.rs
+++ b/crates/host/src/instance.rs
@@ -64,7 +64,8 @@
                 effect,
                 ordered: flag(class, "keepOrder"),
                 zones: indices_of(class, "runsIn", &zones).map(|open| open.into_iter().map(ZoneId).collect()),
-                kinds: indices_of(class, "kindsOpen", &kinds).map(|open| open.into_iter().map(KindId).collect()),
+                kinds: indices_of(class, "kindsOpen", &kinds)
+                    .map(|open| open.into_iter().map(KindId).collect()),
                 threads: numbers(family, "widthByClass")?.get(place).copied().unwrap_or(1.0).max(1.0),
                 is_load: flag_at(family, "isLoad", place),
                 waits_for_loads: flag_at(family, "waitsForLoads", place),
@@ -161,7 +162,9 @@
     }
 
     /// A load report; `value` finds what it holds for a name, by its place among `report_fields` or by itself.
-    pub fn load_reported(&mut self, now: Moment, engine: EngineId, value: impl Fn(usize, &str) -> Option<f64>) {
+    pub fn load_reported(
+        &mut self, now: Moment, engine: EngineId, value: impl Fn(usize, &str) -> Option<f64>,
+    ) {
         let value = |name| position(&self.report_fields, name).and_then(|place| value(place, name));
         let (active, waiting, cpu, disks) = (value("active"), value("waiting"), value("cpu"), value("x1"));
         self.router.load_reported(now, engine, active, waiting, cpu, disks);
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -4,11 +4,11 @@
 //! time and memory, [`table`] holds a line for each field that may stand there, and [`operator_file`] checks what
 //! came out against that table and hands it to the parts of the program, section by section.
 
-pub mod subprocess;
-pub mod page;
 pub mod operator_file;
+pub mod page;
+pub mod subprocess;
 pub mod table;
 pub mod template;
 
-pub use operator_file::{Section, OperatorFile};
+pub use operator_file::{OperatorFile, Section};
 pub use table::{FIELDS, Field, FieldKind};
--- a/crates/operator/src/page.rs
+++ b/crates/operator/src/page.rs
@@ -19,7 +19,8 @@
                 Some("null") => "none".to_owned(),
                 Some(value) => format!("`{value}`"),
             };
-            let line = format!("| `{}` | {} | {default} | {} |\n", field.name(), allowed(field), field.description);
+            let line =
+                format!("| `{}` | {} | {default} | {} |\n", field.name(), allowed(field), field.description);
             page.push_str(&line);
         }
     }
--- a/crates/operator/src/subprocess.rs
+++ b/crates/operator/src/subprocess.rs
@@ -81,9 +81,11 @@
     };
     let timer = thread::Builder::new().stack_size(TIMER_STACK_BYTES).spawn(ends);
     timer.map_err(|error| format!("{}: {error}", template.display()))?;
-    for (resource, most) in
-        [(Resource::DATA, MAX_MEMORY_BYTES), (Resource::AS, 4 * MAX_MEMORY_BYTES), (Resource::CPU, MAX_CPU_SECONDS)]
-    {
+    for (resource, most) in [
+        (Resource::DATA, MAX_MEMORY_BYTES),
+        (Resource::AS, 4 * MAX_MEMORY_BYTES),
+        (Resource::CPU, MAX_CPU_SECONDS),
+    ] {
         resource.set(most, most).map_err(|error| format!("{}: {error}", template.display()))?;
     }
     template::evaluate(template).map(|json| json + "\n")
--- a/crates/operator/tests/operator.rs
+++ b/crates/operator/tests/operator.rs
@@ -106,7 +106,9 @@
     }
     assert_eq!(told.lines().count(), 8);
     assert!(
-        OperatorFile::parse("[]", &path).unwrap_err().contains("a list given, allowed is an object of sections")
+        OperatorFile::parse("[]", &path)
+            .unwrap_err()
+            .contains("a list given, allowed is an object of sections")
     );
 }
 
@@ -115,8 +117,10 @@
     for field in FIELDS {
         assert!(field.path.contains('.') && !field.description.is_empty(), "{}", field.path);
     }
-    let sheet =
-        OperatorFile::parse(&format!("{{\"log\": {{}}, \"gossip\": {}}}", json_of(GOSSIP)), &PathBuf::from("x"));
+    let sheet = OperatorFile::parse(
+        &format!("{{\"log\": {{}}, \"gossip\": {}}}", json_of(GOSSIP)),
+        &PathBuf::from("x"),
+    );
     let sheet = sheet.unwrap();
     let unset = ["gossip.advertise", "gossip.revoked", "gossip.order"];
     assert_eq!(sheet.fields().count() + unset.len(), FIELDS.len());
--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -2,10 +2,12 @@
 //! warrants and states to all as notices.
 
 use woadhook::{Moment, Span};
-use woadhook_accord::{DecidedState, Action, Follower, Incarnation, NodeId, Node, StateNumber, AccordConfig, Voter, Attestation};
-use woadhook_host::fields::Result;
+use woadhook_accord::{
+    AccordConfig, Action, Attestation, DecidedState, Follower, Incarnation, Node, NodeId, StateNumber, Voter,
+};
 use woadhook_gossip::Gossip;
 use woadhook_gossip::keys::MemberId;
+use woadhook_host::fields::Result;
 use woadhook_operator::Section;
 
 /// The subjects of notices: a warrant; a warrant with the state that it vouches for.
@@ -26,7 +28,12 @@
             "accord.lease_ms: {lease} given, allowed is more than twice accord.clock_tolerance_ms, which is {tolerance}"
         ));
     }
-    Ok(AccordConfig { heartbeat_period: millis("period_ms"), lease, clock_tolerance: tolerance, max_content_bytes: CONTENT })
+    Ok(AccordConfig {
+        heartbeat_period: millis("period_ms"),
+        lease,
+        clock_tolerance: tolerance,
+        max_content_bytes: CONTENT,
+    })
 }
 
 pub struct Agreement {
--- a/crates/router/src/backends/sql/engine.rs
+++ b/crates/router/src/backends/sql/engine.rs
@@ -15,7 +15,7 @@
 use crate::guards::Guards;
 use crate::http::request_head;
 use crate::memory::MemoryBudget;
-use crate::pool::{PooledConnection, ConnectionPool};
+use crate::pool::{ConnectionPool, PooledConnection};
 use crate::sockets::with_timeout;
 use crate::tasks::Tasks;
 
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -30,9 +30,7 @@
 }
 
 impl EngineHandle {
-    pub fn new(
-        context: &Rc<EngineContext>, serial: u64, address: SocketAddr, module: Sender<Event>,
-    ) -> Self {
+    pub fn new(context: &Rc<EngineContext>, serial: u64, address: SocketAddr, module: Sender<Event>) -> Self {
         let engine = Rc::new(Engine {
             context: context.clone(),
             serial,
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -58,7 +58,8 @@
         let took = self.out.now().since(decided_at);
         self.is_told = true;
         let in_doubt = doubt.is_some();
-        let ended = Event::DispatchEnded { job, number, outcome, took, actual_cost: told, result: rows, in_doubt };
+        let ended =
+            Event::DispatchEnded { job, number, outcome, took, actual_cost: told, result: rows, in_doubt };
         let _ = self.out.module.send(ended).await;
     }
 
@@ -161,7 +162,8 @@
         Err(outcome) => {
             out.give_up().await;
             // A DELETE goes by the job's id, and a job that is still wanted may be sent there again once the module hears.
-            let may_be_sent_again = out.dispatch.order_key.is_some() && out.dispatch.statement.client.is_waiting();
+            let may_be_sent_again =
+                out.dispatch.order_key.is_some() && out.dispatch.statement.client.is_waiting();
             if out.doubt.is_refused() || may_be_sent_again {
                 out.give_up_over_own(work).await;
             } else {
@@ -322,7 +324,9 @@
     /// Asks for news (0) or a page, again on another connection where one breaks, stays silent or brings what
     /// makes no sense: the engine gives the same answer again. It is heard from as long as it answers at all,
     /// so that noise on connections is not taken for its end.
-    async fn ask(&self, page: usize, mut lease: Option<PooledConnection>) -> Result<(Answer, PooledConnection), Outcome> {
+    async fn ask(
+        &self, page: usize, mut lease: Option<PooledConnection>,
+    ) -> Result<(Answer, PooledConnection), Outcome> {
         let path = format!("/v2/q/{}/{page}", self.dispatch.statement.id);
         let (mut doubts, mut crawls) = (0, 0);
         while doubts < DOUBTS {
@@ -340,7 +344,8 @@
                 Ok(mut lease) => {
                     // An engine that answers at a crawl answers: what has come of a page counts as heard.
                     let least = self.engine.context.min_rate.get();
-                    lease.min_rate = if crawls < CRAWLS { least } else { MinRate { bytes_per_s: 1.0, ..least } };
+                    lease.min_rate =
+                        if crawls < CRAWLS { least } else { MinRate { bytes_per_s: 1.0, ..least } };
                     match self.flowing(&mut lease, &path, page).await {
                         Ok(answer) => return Ok((answer, lease)),
                         Err(CallError::TooSlow(figures)) => {
@@ -380,7 +385,9 @@
     }
 
     /// One call that is given up where no byte of its answer comes in time, or the rest of it too slowly.
-    async fn flowing(&self, lease: &mut PooledConnection, path: &str, page: usize) -> Result<Answer, CallError> {
+    async fn flowing(
+        &self, lease: &mut PooledConnection, path: &str, page: usize,
+    ) -> Result<Answer, CallError> {
         let clock = self.engine.context.clock;
         let began = self.now();
         let flow = lease.response_progress.clone();
@@ -400,15 +407,22 @@
         let answer = self.call(lease, "GET", path, &[], &[], page).or(slow).await?;
         if let Some(came) = flow.received() {
             let (engine, bytes) = (self.dispatch.engine, answer.body.len());
-            let (first, body) = (came.first_byte_at.since(began), came.last_byte_at.since(came.first_byte_at));
-            let _ = self.module.try_send(Event::PageReceived { engine, bytes, time_to_first_byte: first, transfer_time: body });
+            let (first, body) =
+                (came.first_byte_at.since(began), came.last_byte_at.since(came.first_byte_at));
+            let _ = self.module.try_send(Event::PageReceived {
+                engine,
+                bytes,
+                time_to_first_byte: first,
+                transfer_time: body,
+            });
         }
         Ok(answer)
     }
 
     /// One call for what page 0 or a further page answers; it may be any of the ends, and must make sense.
     async fn call(
-        &self, lease: &mut PooledConnection, method: &str, path: &str, fields: &[(&str, &str)], body: &[u8], page: usize,
+        &self, lease: &mut PooledConnection, method: &str, path: &str, fields: &[(&str, &str)], body: &[u8],
+        page: usize,
     ) -> Result<Answer, CallError> {
         let head = request_head(method, path, self.engine.address, fields, body.len());
         let mut answer = Answer::default();
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -8,11 +8,11 @@
 
 use clap::{Args, Parser, Subcommand};
 use woadhook::Span;
-use woadhook_host::Instance;
 use woadhook_gossip::keys::{
     ClusterId, MemberId, Pass, Revocation, SecretKey, VoterSet, public_key_from_text, public_key_to_text,
 };
-use woadhook_operator::{OperatorFile, subprocess, page};
+use woadhook_host::Instance;
+use woadhook_operator::{OperatorFile, page, subprocess};
 use woadhook_router::clock::Clock;
 use woadhook_router::file_reads::FileReads;
 use woadhook_router::gossip::GossipSetup;
@@ -293,8 +293,12 @@
         Key::Revoke { by, days: count, list } => {
             let operator = keyfiles::read_secret(&by.operator_key)?;
             let mut listed = if list.exists() { keyfiles::read_revocations(&list)? } else { Vec::new() };
-            let new =
-                Revocation::issue(&operator, &by.member, ClusterId::from_name(&by.cluster), now + days(count));
+            let new = Revocation::issue(
+                &operator,
+                &by.member,
+                ClusterId::from_name(&by.cluster),
+                now + days(count),
+            );
             listed.retain(|old| old.member != new.member && old.until > now);
             listed.push(new);
             keyfiles::write_revocations(&list, &listed)?;
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -11,17 +11,19 @@
 use futures_lite::{FutureExt, future};
 use serde_json::Value;
 use woadhook::*;
-use woadhook_host::Instance;
-use woadhook_host::fields::*;
-use woadhook_gossip::EngineCondition;
 use woadhook_flow_control::engine_rates::EngineRates;
 use woadhook_flow_control::min_rate::MinRate;
+use woadhook_gossip::EngineCondition;
+use woadhook_host::Instance;
+use woadhook_host::fields::*;
 
 use crate::backends::sql::engine::EngineContext;
 use crate::backends::sql::handle::{EngineCall, EngineHandle};
 use crate::clock::Clock;
 use crate::config::parse_address;
-use crate::exchange::{Answer, Dispatch, Event, MALFORMED, GossipEvent, GossipHandle, Responder, Statement, parse_measurement};
+use crate::exchange::{
+    Answer, Dispatch, Event, GossipEvent, GossipHandle, MALFORMED, Responder, Statement, parse_measurement,
+};
 use crate::guards::{Earlier, Refusal, Step};
 use crate::starts::{EventTime, Stamp};
 use crate::unsettled_keys::UnsettledKeys;
@@ -190,8 +192,31 @@
 
     fn take_in(&mut self, now: Moment, event: Event) {
         match event {
-            Event::JobArrived { client, statement, kind, group, tenant, order_key, stated_work, memory, deadline, responder } => {
-                self.arrive(now, client, statement, kind, group, tenant, order_key, stated_work, memory, deadline, responder);
+            Event::JobArrived {
+                client,
+                statement,
+                kind,
+                group,
+                tenant,
+                order_key,
+                stated_work,
+                memory,
+                deadline,
+                responder,
+            } => {
+                self.arrive(
+                    now,
+                    client,
+                    statement,
+                    kind,
+                    group,
+                    tenant,
+                    order_key,
+                    stated_work,
+                    memory,
+                    deadline,
+                    responder,
+                );
             }
             Event::Withdrawn { client, number } => {
                 if let Some(job) = self.asked.get(&(client, number)) {
@@ -225,7 +250,11 @@
                 log::debug!(event = "dispatch_ended", job = open.statement.id, number, outcome:? = outcome, took_us = took.micros(); "dispatch ended");
                 if let Some((engine, _)) = at {
                     let of = &self.instance.types[kind.0];
-                    self.note(engine, |engine| GossipEvent::DispatchEnded { engine, of: of.clone(), outcome });
+                    self.note(engine, |engine| GossipEvent::DispatchEnded {
+                        engine,
+                        of: of.clone(),
+                        outcome,
+                    });
                 }
                 let reply = if outcome == Outcome::Done { self.reply_to(job) } else { None };
                 if let Some((reply, rows)) = reply.zip(result) {
@@ -252,8 +281,12 @@
                     self.note(engine, |engine| GossipEvent::ProbeAnswered { engine });
                 }
             }
-            Event::PageReceived { engine, bytes, time_to_first_byte, transfer_time } => self.sent(engine, bytes, time_to_first_byte, transfer_time),
-            Event::PeerReport { engine, reservation_type, suspicion } => self.hearsay(now, &engine, reservation_type.as_deref(), suspicion),
+            Event::PageReceived { engine, bytes, time_to_first_byte, transfer_time } => {
+                self.sent(engine, bytes, time_to_first_byte, transfer_time)
+            }
+            Event::PeerReport { engine, reservation_type, suspicion } => {
+                self.hearsay(now, &engine, reservation_type.as_deref(), suspicion)
+            }
             Event::ListReceived { roster, event_time, skip_malformed, result } => {
                 let _ = result.try_send(self.follow_list(now, &roster, event_time, skip_malformed));
                 self.tell_list();
@@ -458,7 +491,11 @@
                 let answer = match self.check_rejection(job) {
                     Ok(()) => Answer::Overloaded(come_back),
                     Err(why) => {
-                        self.context.guards.record_violation(Step::Repeat, why, self.instance.jobs.name(job.0));
+                        self.context.guards.record_violation(
+                            Step::Repeat,
+                            why,
+                            self.instance.jobs.name(job.0),
+                        );
                         Answer::Failed("Internal")
                     }
                 };
@@ -484,7 +521,11 @@
             Decision::SetAside { engine, why } => {
                 let name = self.instance.engines.name(engine.0);
                 log::info!(event = "engine_set_aside", engine = name, why = why.description(); "engine {name} set aside: {}", why.description());
-                let seen = if why == SetAsideReason::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
+                let seen = if why == SetAsideReason::Failed {
+                    EngineCondition::Reset
+                } else {
+                    EngineCondition::Silent
+                };
                 self.note(engine, |engine| GossipEvent::EngineJudged { engine, seen });
             }
             Decision::Back { engine } => {
@@ -524,8 +565,17 @@
         log::debug!(event = "dispatched", job = open.statement.id, number, engine = self.instance.engines.name(engine.0); "dispatched");
         let (statement, key) = (open.statement.clone(), open.key);
         let until = until.min(open.deadline);
-        let dispatch =
-            Dispatch { job, number, engine, statement, decided_at: now, deadline: until, repeat_deadline: before, order_key: key, priority };
+        let dispatch = Dispatch {
+            job,
+            number,
+            engine,
+            statement,
+            decided_at: now,
+            deadline: until,
+            repeat_deadline: before,
+            order_key: key,
+            priority,
+        };
         let (orders, taken) = async_channel::bounded(ORDERS);
         open.out.insert(number, (engine, orders));
         known.handle.spawn(EngineCall::Run(dispatch, taken));
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -58,8 +58,8 @@
 
 /// Follows discovery from `last`, the number of the last event known, which goes on at a new address.
 pub async fn follow(
-    clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<DiscoveryMove>, module: Sender<Event>,
-    freshness: ListFreshness,
+    clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<DiscoveryMove>,
+    module: Sender<Event>, freshness: ListFreshness,
 ) {
     let patience = grace.mul_f64(PATIENCE_PART).min(LONGEST);
     let follower = Follower {
@@ -291,7 +291,14 @@
                 return Err(format!("event {} is missing", *last + 1));
             }
             let (read, answer) = async_channel::bounded(1);
-            let _ = module.send(Event::ListReceived { roster: roster.clone(), event_time: happened, skip_malformed: in_part, result: read }).await;
+            let _ = module
+                .send(Event::ListReceived {
+                    roster: roster.clone(),
+                    event_time: happened,
+                    skip_malformed: in_part,
+                    result: read,
+                })
+                .await;
             answer.recv().await.map_err(|_| "no module".to_owned())??;
         }
         *last = number;
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -7,11 +7,11 @@
 use async_channel::{Receiver, Sender};
 use serde_json::Value;
 use woadhook::*;
-use woadhook_host::fields::Result;
 use woadhook_gossip::EngineCondition;
+use woadhook_host::fields::Result;
 
 use crate::keyfiles::Keys;
-use crate::memory::{MemoryPermit, Holder};
+use crate::memory::{Holder, MemoryPermit};
 use crate::starts::EventTime;
 
 /// The error for what can't be taken, whatever is wrong with it.
--- a/crates/router/src/frontends/rpc/connections.rs
+++ b/crates/router/src/frontends/rpc/connections.rs
@@ -9,7 +9,7 @@
 use woadhook::{Moment, Span};
 
 use crate::clock::{Clock, sleep};
-use crate::sockets::{Socket, PendingInput};
+use crate::sockets::{PendingInput, Socket};
 
 /// How long a request that is under way may take to come: from the start of a connection that comes as the router ends, or
 /// from its last bytes.
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -22,8 +22,8 @@
 use crate::frontends::rpc::connections::{Client, Registration};
 use crate::frontends::rpc::request::RequestLimits;
 use crate::guards::{Guards, Refusal, Step};
-use crate::memory::{MemoryPermit, Holder, MemoryBudget};
-use crate::sockets::{Socket, PendingInput, WriteError, read_once, with_timeout, write_at_min_rate};
+use crate::memory::{Holder, MemoryBudget, MemoryPermit};
+use crate::sockets::{PendingInput, Socket, WriteError, read_once, with_timeout, write_at_min_rate};
 use crate::tasks::Tasks;
 
 /// The most open requests of a connection, and some whose withdrawal is on its way.
@@ -248,7 +248,8 @@
 }
 
 async fn write(
-    link: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: MinRate, mut turn: DeficitCounter,
+    link: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: MinRate,
+    mut turn: DeficitCounter,
 ) -> Result<(), WriteError> {
     let (mut head, mut tail) = (Vec::new(), Vec::new());
     while let Ok(outgoing) = answers.recv().await {
@@ -328,7 +329,11 @@
             if filled == buffer.len() {
                 // Threat: many clients with long messages. Those that find no room are closed when theirs is
                 // due.
-                let more = with_timeout(MESSAGE_WITHIN, self.context.message_memory.acquire(self.holder, filled * 2)).await;
+                let more = with_timeout(
+                    MESSAGE_WITHIN,
+                    self.context.message_memory.acquire(self.holder, filled * 2),
+                )
+                .await;
                 room = Some(more.ok_or(End::NoRoom)?);
                 buffer.resize(filled * 2, 0);
             } else if filled == 0 && room.take().is_some() {
@@ -426,7 +431,8 @@
                 let number = codec::read_u32(message)?;
                 let method = codec::read_str(message);
                 if let Ok("ping") = method {
-                    let _ = self.context.events.send(Event::Ping { responder: self.aside(number).await }).await;
+                    let _ =
+                        self.context.events.send(Event::Ping { responder: self.aside(number).await }).await;
                     return Ok(1);
                 }
                 if number <= self.last.replace(number) {
@@ -481,7 +487,11 @@
         let asked = self.context.request_limits.request(method, message).map_err(malformed)?;
         let full = || Answer::Overloaded(self.context.come_back);
         let place = self.places.try_acquire_arc().ok_or_else(full)?;
-        let held = self.context.job_memory.try_acquire(self.holder, asked.text.len() + JOB_BYTES).ok_or_else(full)?;
+        let held = self
+            .context
+            .job_memory
+            .try_acquire(self.holder, asked.text.len() + JOB_BYTES)
+            .ok_or_else(full)?;
         // The connection itself belongs to its actor alone.
         let (link, gone) = (self.peer.link.clone(), self.gone.clone());
         let connected = move || !gone.get() && link.upgrade().is_some_and(|link| !link.is_closed_by_peer());
--- a/crates/router/src/frontends/rpc/listen.rs
+++ b/crates/router/src/frontends/rpc/listen.rs
@@ -110,7 +110,13 @@
         let link = Rc::new(Socket::accepted(stream, permit));
         let registration = connections.enter(client, &link, clock.now());
         intake.holds_one.set(false);
-        context.tasks.spawn(front::serve(link, client, registration, arrivals.earliest_arrival(), context.clone()));
+        context.tasks.spawn(front::serve(
+            link,
+            client,
+            registration,
+            arrivals.earliest_arrival(),
+            context.clone(),
+        ));
         // Those taken in before are heard first.
         yield_now().await;
     }
--- a/crates/router/src/frontends/rpc/request.rs
+++ b/crates/router/src/frontends/rpc/request.rs
@@ -54,7 +54,8 @@
         let wait = wait.filter(|wait| !wait.contains('.')).ok_or(Malformed)?;
         // No engine could do more than that in the longest time, all of its cores at work. The type's own time is no bound:
         // a job that can't be done in it is to be told so, not that it is malformed.
-        let most = self.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or(timeout).mul_f64(self.max_cores);
+        let most =
+            self.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or(timeout).mul_f64(self.max_cores);
         let text = str::from_utf8(body).map_err(|_| Malformed)?;
         // It may go on as a field of a head.
         let plain = |name: &str| name.trim() == name && name.bytes().all(|byte| (0x20..0x7f).contains(&byte));
@@ -77,7 +78,11 @@
                 .map(|cost| within(millis(amount(cost)?), most))
                 .transpose()?
                 .filter(|told| *told > Span::ZERO),
-            memory: ram.map_or(Ok(0.0), amount).ok().filter(|ram| *ram <= self.max_memory_mb).ok_or(Malformed)?,
+            memory: ram
+                .map_or(Ok(0.0), amount)
+                .ok()
+                .filter(|ram| *ram <= self.max_memory_mb)
+                .ok_or(Malformed)?,
             tenant,
             key,
             once,
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -7,14 +7,14 @@
 use async_io::Async;
 use futures_lite::{FutureExt, future};
 use woadhook::{Moment, Span};
-use woadhook_host::fields::Result;
 use woadhook_gossip::wire::MAX_DATAGRAM_BYTES;
 use woadhook_gossip::{Action, EngineCondition, Gossip, GossipConfig};
+use woadhook_host::fields::Result;
 use woadhook_operator::Section;
 
 use crate::agreement::{self, Agreement};
 use crate::clock::{Clock, sleep};
-use crate::exchange::{Event, EngineList, GossipEvent, GossipHandle};
+use crate::exchange::{EngineList, Event, GossipEvent, GossipHandle};
 use crate::keyfiles::Keys;
 use crate::tasks::Tasks;
 
@@ -73,8 +73,17 @@
 }
 
 /// Starts the actor; what it hears reaches the module.
-pub fn start(talk: GossipSetup, clock: Clock, seed: u64, tasks: Tasks, module: Sender<Event>) -> Result<GossipHandle> {
-    let GossipSetup { socket, keys: Keys { identity, ring, order }, advertised_address: address, seeds, pace, accord } = talk;
+pub fn start(
+    talk: GossipSetup, clock: Clock, seed: u64, tasks: Tasks, module: Sender<Event>,
+) -> Result<GossipHandle> {
+    let GossipSetup {
+        socket,
+        keys: Keys { identity, ring, order },
+        advertised_address: address,
+        seeds,
+        pace,
+        accord,
+    } = talk;
     let socket = Async::new(socket).map_err(|error| format!("gossip: {error}"))?;
     log::info!(event = "gossip_started", member = identity.name(), address:% = address; "talking with other instances");
     // Apart from the module's own draws.
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::Clock;
 use crate::faults::CallError;
-use crate::sockets::{FirstByte, Socket, Progress, PendingInput, read, write_gathered};
+use crate::sockets::{FirstByte, PendingInput, Progress, Socket, read, write_gathered};
 
 const HEAD_BYTES: usize = 4 * 1024;
 const HEAD_FIELDS: usize = 48;
@@ -44,7 +44,12 @@
 impl ResponseProgress {
     fn moved(&self, clock: Clock, least: MinRate, bytes: usize) {
         let now = clock.now();
-        let new = Received { first_byte_at: now, last_byte_at: now, bytes: 0, watch: RateMonitor::start(now, least) };
+        let new = Received {
+            first_byte_at: now,
+            last_byte_at: now,
+            bytes: 0,
+            watch: RateMonitor::start(now, least),
+        };
         let mut came = self.0.get().unwrap_or(new);
         came.watch.record(now, bytes);
         (came.last_byte_at, came.bytes) = (now, came.bytes + bytes);
@@ -252,7 +257,9 @@
 }
 
 /// The head of a call.
-pub fn request_head(method: &str, path: &str, to: SocketAddr, fields: &[(&str, &str)], length: usize) -> String {
+pub fn request_head(
+    method: &str, path: &str, to: SocketAddr, fields: &[(&str, &str)], length: usize,
+) -> String {
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {to}\r\n");
     for (name, value) in fields {
         head.extend([name, ": ", value, "\r\n"]);
--- a/crates/router/src/keyfiles.rs
+++ b/crates/router/src/keyfiles.rs
@@ -6,11 +6,13 @@
 use std::path::Path;
 
 use woadhook::Moment;
-use woadhook_gossip::keys::{ClusterId, Identity, Pass, Revocation, SecretKey, TrustStore, VoterSet, public_key_from_text};
+use woadhook_gossip::keys::{
+    ClusterId, Identity, Pass, Revocation, SecretKey, TrustStore, VoterSet, public_key_from_text,
+};
 use woadhook_operator::Section;
 use zeroize::Zeroizing;
 
-use crate::files::{READ_TIMEOUT, InputFile};
+use crate::files::{InputFile, READ_TIMEOUT};
 
 /// No key file holds more; a list of revocations holds up to `LIST_BYTES`.
 const FILE_BYTES: u64 = 4 * 1024;
@@ -47,7 +49,8 @@
 }
 
 pub fn read_order(path: &Path) -> Result<VoterSet, String> {
-    VoterSet::from_text(&text(path, FILE_BYTES, false)?).map_err(|fault| format!("{}: {fault}", path.display()))
+    VoterSet::from_text(&text(path, FILE_BYTES, false)?)
+        .map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 /// Writes a new file that only its owner can read; one that is there stays.
@@ -83,7 +86,8 @@
 impl Keys {
     /// Reads the files that the operator file's section names.
     pub fn read(section: Section<'_>, now: Moment) -> Result<Self, String> {
-        let named = |field: &str| section.file_path(field).ok_or_else(|| format!("gossip.{field}: names no file"));
+        let named =
+            |field: &str| section.file_path(field).ok_or_else(|| format!("gossip.{field}: names no file"));
         let operators = section.text_list("operator_keys").into_iter().map(public_key_from_text);
         let operators: Vec<[u8; 32]> = operators
             .collect::<Result<_, String>>()
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -42,9 +42,9 @@
 
 use futures_lite::Stream;
 use woadhook::Span;
+use woadhook_flow_control::min_rate::MinRate;
 use woadhook_host::fields::*;
 use woadhook_operator::OperatorFile;
-use woadhook_flow_control::min_rate::MinRate;
 
 pub use crate::frontends::rpc::codec;
 
@@ -68,8 +68,8 @@
 
 /// Serves until a planned stop is done, which `orders` hold some time. With `talk` it talks with other routers.
 pub async fn serve(
-    tasks: Tasks, given: config::RouterConfig, listener: TcpListener, orders: impl Stream<Item = OperatorCommand> + 'static,
-    talk: Option<GossipSetup>, sheet: &OperatorFile,
+    tasks: Tasks, given: config::RouterConfig, listener: TcpListener,
+    orders: impl Stream<Item = OperatorCommand> + 'static, talk: Option<GossipSetup>, sheet: &OperatorFile,
 ) -> Result<()> {
     let clock = Clock::start();
     let settings = given.settings;
@@ -99,8 +99,9 @@
     tasks.spawn(timers::drive());
     let descriptors = DescriptorBudget::split(given.descriptors);
     // Half of the memory in all; the other half is for what each connection and the program itself take.
-    let room =
-        |part: f64| MemoryBudget::new((given.memory_mb * 1024.0 * 1024.0 * part) as usize, descriptors.max_clients);
+    let room = |part: f64| {
+        MemoryBudget::new((given.memory_mb * 1024.0 * 1024.0 * part) as usize, descriptors.max_clients)
+    };
     let (module, mailbox) = async_channel::bounded(decide::MAILBOX);
     let (urgent, pressing) = async_channel::bounded(decide::MAILBOX);
     let guards = Guards::default();
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -54,8 +54,11 @@
 
     /// A rested connection to this engine that its peer has not closed, or else a new one. Where all
     /// descriptors are in use, the longest idle of any engine is closed for it, or one waited for.
-    pub async fn acquire(self: &Rc<Self>, engine: u64, at: SocketAddr, span: Span) -> Result<PooledConnection, CallError> {
-        let lease = |connection| PooledConnection { pool: self.clone(), engine, connection: Some(connection) };
+    pub async fn acquire(
+        self: &Rc<Self>, engine: u64, at: SocketAddr, span: Span,
+    ) -> Result<PooledConnection, CallError> {
+        let lease =
+            |connection| PooledConnection { pool: self.clone(), engine, connection: Some(connection) };
         self.close_old();
         while let Some(connection) = self.latest(engine) {
             if connection.is_ready() {
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::{Clock, sleep};
 use crate::faults::CallError;
-use crate::interrupted_calls::{RETRY_PAUSE, MAX_IMMEDIATE_TRIES, is_interrupted, retried, retried_at_once};
+use crate::interrupted_calls::{MAX_IMMEDIATE_TRIES, RETRY_PAUSE, is_interrupted, retried, retried_at_once};
 
 /// Descriptors that are no sockets of peers: standard streams, poller, signals, listener, bulletin.
 const OWN: usize = 24;
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -35,8 +35,8 @@
 
 /// Carries orders out as they come; `stop` hears of the one to stop, and reloads go on behind it.
 pub async fn heed(
-    orders: impl Stream<Item = OperatorCommand>, moves: Sender<DiscoveryMove>, stop: Sender<()>, notes: Option<GossipHandle>,
-    guards: Guards,
+    orders: impl Stream<Item = OperatorCommand>, moves: Sender<DiscoveryMove>, stop: Sender<()>,
+    notes: Option<GossipHandle>, guards: Guards,
 ) {
     let mut orders = std::pin::pin!(orders);
     while let Some(order) = orders.next().await {
@@ -44,7 +44,8 @@
             // The latest counts, as it holds what an earlier one told.
             OperatorCommand::Reload(Ok(given)) => {
                 guards.report();
-                let _ = moves.force_send(DiscoveryMove { address: given.bulletin, known_events: given.known });
+                let _ =
+                    moves.force_send(DiscoveryMove { address: given.bulletin, known_events: given.known });
             }
             OperatorCommand::Reload(Err(fault)) => log::error!("the old configuration stays: {fault}"),
             OperatorCommand::ReloadKeys(Ok(keys)) => {
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -216,7 +216,8 @@
 fn whole_answers(mut bytes: &[u8]) -> usize {
     let mut whole = 0;
     while !bytes.is_empty() {
-        let length = codec::message_length(bytes, &mut codec::MessageScanner::default(), &mut 0).ok().flatten();
+        let length =
+            codec::message_length(bytes, &mut codec::MessageScanner::default(), &mut 0).ok().flatten();
         bytes = &bytes[length.expect("whole answers only")..];
         whole += 1;
     }
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -6,7 +6,9 @@
 use woadhook::{Moment, Span};
 use woadhook_gossip::EngineCondition;
 use woadhook_gossip::keys::{Identity, MemberId, Pass, SecretKey, TrustStore};
-use woadhook_gossip::wire::{DatagramKind, Envelope, Item, ItemTag, MemberRecord, Observation, PADDED_PING_BYTES, encode_signed};
+use woadhook_gossip::wire::{
+    DatagramKind, Envelope, Item, ItemTag, MemberRecord, Observation, PADDED_PING_BYTES, encode_signed,
+};
 use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
 use woadhook_router::stop::OperatorCommand;
--- a/crates/router/tests/stories/main.rs
+++ b/crates/router/tests/stories/main.rs
@@ -378,9 +378,14 @@
     let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     for length in 0..message.len() {
         assert!(matches!(whole(&message[..length]), Ok(None)), "{length}");
-        assert!(matches!(codec::message_length(&message[..length], &mut scan, &mut scanned), Ok(None)), "{length}");
+        assert!(
+            matches!(codec::message_length(&message[..length], &mut scan, &mut scanned), Ok(None)),
+            "{length}"
+        );
     }
-    assert!(matches!(codec::message_length(&message, &mut scan, &mut scanned), Ok(Some(n)) if n == message.len()));
+    assert!(
+        matches!(codec::message_length(&message, &mut scan, &mut scanned), Ok(Some(n)) if n == message.len())
+    );
     assert!(matches!(whole(&[message.as_slice(), b"next"].concat()), Ok(Some(n)) if n == message.len()));
     for (place, byte) in (0..message.len()).flat_map(|place| (0..=255).map(move |byte| (place, byte))) {
         let mut changed = message.clone();
@@ -533,7 +538,8 @@
     let mut client = Client::new(&router);
     second.add(2, vec![member("s-0", old, "DRAINING"), member("s-1", new, "SERVING")]);
     let bulletin = second.serve();
-    let reload = |told: &str| router.orders.send_blocking(OperatorCommand::Reload(config::parse(told, None))).unwrap();
+    let reload =
+        |told: &str| router.orders.send_blocking(OperatorCommand::Reload(config::parse(told, None))).unwrap();
     reload("{");
     reload(&told(&[old], nobody(), 1024));
     reload(&told(&[old], bulletin.address, 1024));
--- a/crates/router/tests/waiting_calls.rs
+++ b/crates/router/tests/waiting_calls.rs
@@ -322,7 +322,11 @@
             router.signal(Signal::HUP);
             serves(&mut client, reloads + reload, 1, "under reloads that do not come");
         }
-        assert!(router.threads() <= threads + MAX_CONCURRENT_READS, "{} threads, {threads} before", router.threads());
+        assert!(
+            router.threads() <= threads + MAX_CONCURRENT_READS,
+            "{} threads, {threads} before",
+            router.threads()
+        );
         let good = router.folder.join("good.json");
         fs::write(&good, told(&[engine.address], new_discovery.address, 1024)).unwrap();
         router.replace_config(&good);
--- a/crates/standins/examples/decisions.rs
+++ b/crates/standins/examples/decisions.rs
@@ -64,9 +64,21 @@
         memory_mb_by_kind: vec![16_384.0, 32_768.0],
         cross_zone_cost: 0.04,
     };
-    let cold = ColdStart { overload_factor: 2.0, overload_window: millis(2_000), start_capacity: 0.25, cold_period: millis(4_000) };
-    let retry_budget = rough.then_some(RetryBudget { free_retries: 10.0, retry_ratio: 0.1, window: millis(5_000) });
-    let further = RetryLimits { max_dispatches: 4, concurrent_dispatches: rough, can_cancel: true, key_rest: millis(5), retry_budget };
+    let cold = ColdStart {
+        overload_factor: 2.0,
+        overload_window: millis(2_000),
+        start_capacity: 0.25,
+        cold_period: millis(4_000),
+    };
+    let retry_budget =
+        rough.then_some(RetryBudget { free_retries: 10.0, retry_ratio: 0.1, window: millis(5_000) });
+    let further = RetryLimits {
+        max_dispatches: 4,
+        concurrent_dispatches: rough,
+        can_cancel: true,
+        key_rest: millis(5),
+        retry_budget,
+    };
     let watching = Monitoring {
         may_probe: true,
         reports_with_probes_only: rough,
--- a/crates/standins/examples/gossip_scale.rs
+++ b/crates/standins/examples/gossip_scale.rs
@@ -84,7 +84,8 @@
         );
         cluster.at(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Well));
         cluster.kill(2);
-        let knows = |cluster: &Cluster| cluster.running().filter(|(_, core)| core.live_members() < count).count();
+        let knows =
+            |cluster: &Cluster| cluster.running().filter(|(_, core)| core.live_members() < count).count();
         println!(
             "a crashed instance is gone at half: {}",
             shown(cluster.until(secs(60.0), |cluster| knows(cluster) * 2 >= count - 1))
@@ -96,11 +97,9 @@
         cluster.start(2);
         println!(
             "and back at all: {}",
-            shown(
-                cluster.until(secs(120.0), |cluster| {
-                    cluster.running().all(|(_, core)| core.live_members() == count)
-                })
-            )
+            shown(cluster.until(secs(120.0), |cluster| {
+                cluster.running().all(|(_, core)| core.live_members() == count)
+            }))
         );
         let churn = if count > 1000 { secs(4.0) } else { secs(20.0) };
         println!(
--- a/crates/standins/examples/hearsay.rs
+++ b/crates/standins/examples/hearsay.rs
@@ -43,7 +43,11 @@
         for turn in 0..20 {
             for liar in 8..8 + liars {
                 for engine in 0..6 {
-                    let seen = if flapping && turn % 2 == 1 { EngineCondition::Well } else { EngineCondition::Silent };
+                    let seen = if flapping && turn % 2 == 1 {
+                        EngineCondition::Well
+                    } else {
+                        EngineCondition::Silent
+                    };
                     world.cluster.at(liar, |now, core| core.engine_judged(now, &format!("s-{engine}"), seen));
                 }
             }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -170,7 +170,9 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         bytes.extend_from_slice(&piece[..count]);
-        if let Some(length) = codec::message_length(&bytes, &mut scan, &mut scanned).expect("what can be read") {
+        if let Some(length) =
+            codec::message_length(&bytes, &mut scan, &mut scanned).expect("what can be read")
+        {
             assert_eq!(length, bytes.len(), "one answer to one job");
             break;
         }
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use woadhook::{Moment, Span};
-use woadhook_gossip::keys::{ClusterId, Identity, MemberId, Pass, Revocation, SecretKey, TrustStore, VoterSet};
+use woadhook_gossip::keys::{
+    ClusterId, Identity, MemberId, Pass, Revocation, SecretKey, TrustStore, VoterSet,
+};
 use woadhook_gossip::{Action, EngineCondition, EventKind, Gossip, GossipConfig};
 use woadhook_router::agreement::Agreement;
 
@@ -33,7 +35,12 @@
 
 /// The same of what voters agree on.
 pub fn usual_accord() -> woadhook_accord::AccordConfig {
-    woadhook_accord::AccordConfig { heartbeat_period: secs(0.2), lease: secs(8.0), clock_tolerance: secs(2.0), max_content_bytes: 400 }
+    woadhook_accord::AccordConfig {
+        heartbeat_period: secs(0.2),
+        lease: secs(8.0),
+        clock_tolerance: secs(2.0),
+        max_content_bytes: 400,
+    }
 }
 
 /// Keys from small numbers.
@@ -185,7 +192,8 @@
 
     /// Makes all know all, as after a long calm time.
     pub fn acquaint(&mut self) {
-        let cards: Vec<_> = self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.own_record())).collect();
+        let cards: Vec<_> =
+            self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.own_record())).collect();
         for node in 0..self.nodes.len() {
             let now = self.nodes[node].now(self.now);
             if let Some(core) = &mut self.nodes[node].core {
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -7,9 +7,9 @@
 use rand_pcg::Pcg32;
 use serde_json::Value;
 use woadhook::{CellId, KindId, ZoneId};
-use woadhook::{Decision, EngineId, Forgotten, GroupId, JobId, EngineStatus, Moment, Outcome, Span, TypeId};
-use woadhook_host::Instance;
+use woadhook::{Decision, EngineId, EngineStatus, Forgotten, GroupId, JobId, Moment, Outcome, Span, TypeId};
 use woadhook_gossip::EngineCondition;
+use woadhook_host::Instance;
 
 use crate::cluster::{Cluster, secs, usual_pace};
 use crate::net::Weather;
@@ -355,7 +355,11 @@
                     self.happens(at, Happening::Wakes { router });
                 }
                 Decision::SetAside { engine, why } => {
-                    let seen = if why == woadhook::SetAsideReason::Failed { EngineCondition::Reset } else { EngineCondition::Silent };
+                    let seen = if why == woadhook::SetAsideReason::Failed {
+                        EngineCondition::Reset
+                    } else {
+                        EngineCondition::Silent
+                    };
                     let name = self.hosts[router].instance.engines.name(engine.0).to_owned();
                     self.tell(router, |now, core| core.engine_judged(now, &name, seen));
                 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -103,8 +103,8 @@
 
 impl Router {
     pub fn new(
-        now: Moment, seed: u64, types: Vec<ReservationType>, fleet: Fleet, cold: ColdStart, further: RetryLimits,
-        watching: Monitoring, answers: AnswerPolicy, terms: MemoryGrants,
+        now: Moment, seed: u64, types: Vec<ReservationType>, fleet: Fleet, cold: ColdStart,
+        further: RetryLimits, watching: Monitoring, answers: AnswerPolicy, terms: MemoryGrants,
     ) -> Self {
         let parts = vec![(1.0, now); answers.tenant_rates.len()];
         let subscribed = watching.max_list_age.is_none();
@@ -385,7 +385,8 @@
 
     /// Engines that are live and not set aside; if all are, all that are live.
     fn usable(&self) -> Vec<(EngineId, &Engine)> {
-        let live = || self.engines.iter().filter(|(_, e)| e.listed == EngineStatus::Live).map(|(id, e)| (*id, e));
+        let live =
+            || self.engines.iter().filter(|(_, e)| e.listed == EngineStatus::Live).map(|(id, e)| (*id, e));
         let well: Vec<_> = live().filter(|(_, e)| e.aside.is_none()).collect();
         if well.is_empty() { live().collect() } else { well }
     }
@@ -587,7 +588,8 @@
         let before = self.repeat_before(&self.jobs[&id]);
         let (job, engine) = (self.jobs.get_mut(&id)?, self.engines.get_mut(&to)?);
         let t = &self.types[job.kind.0];
-        let most = self.terms.max_grant_share * self.fleet.memory_mb_by_kind.get(engine.kind.0).copied().unwrap_or(0.0);
+        let most = self.terms.max_grant_share
+            * self.fleet.memory_mb_by_kind.get(engine.kind.0).copied().unwrap_or(0.0);
         let grant = (job.memory * self.estimates.memory_bias[job.kind.0].0).min(most);
         let grant = if self.terms.enabled { grant } else { 0.0 };
         let step = PRIORITY_STEPS.iter().filter(|step| density >= **step).count() as u8;
@@ -657,7 +659,10 @@
         let calm = self.calm_until.is_some_and(|until| now <= until);
         let doubted = || self.engines.iter().find(|(_, e)| due(e) && doubtful(e));
         let mut pick = if calm { None } else { doubted().map(|(id, _)| *id) };
-        if pick.is_none() && self.watching.reports_with_probes_only && self.since_probe >= DISPATCHES_PER_PROBE {
+        if pick.is_none()
+            && self.watching.reports_with_probes_only
+            && self.since_probe >= DISPATCHES_PER_PROBE
+        {
             let live = self.engines.iter().filter(|(_, e)| e.listed == EngineStatus::Live && due(e));
             let live: Vec<EngineId> = live.map(|(id, _)| *id).collect();
             pick = live.get(self.chance.random_range(0..live.len().max(1))).copied();
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -87,7 +87,9 @@
 
     /// Rule 7.
     pub(super) fn ration_left(&self) -> bool {
-        let left = |r: &RetryBudget| r.free_retries + r.retry_ratio * self.taken.len() as f64 - self.resent.len() as f64;
+        let left = |r: &RetryBudget| {
+            r.free_retries + r.retry_ratio * self.taken.len() as f64 - self.resent.len() as f64
+        };
         self.further.retry_budget.as_ref().is_none_or(|ration| left(ration) >= 1.0)
     }
 }
--- a/tests/scenarios/host.rs
+++ b/tests/scenarios/host.rs
@@ -72,7 +72,12 @@
                 memory_mb_by_kind: vec![16_384.0; 2],
                 cross_zone_cost: 0.04,
             },
-            cold: ColdStart { overload_factor: 2.0, overload_window: ms(2_000), start_capacity: 0.25, cold_period: ms(15_000) },
+            cold: ColdStart {
+                overload_factor: 2.0,
+                overload_window: ms(2_000),
+                start_capacity: 0.25,
+                cold_period: ms(15_000),
+            },
             further: RetryLimits {
                 max_dispatches: 4,
                 concurrent_dispatches: false,
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -174,7 +174,8 @@
 fn twenty_and_thirty_routers_told_of_one_start_keep_to_the_ramp_together() {
     for all in [20, 30] {
         let member = |number| {
-            let mut host = Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (all, number));
+            let mut host =
+                Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (all, number));
             host.list(0, EngineStatus::Gone, None);
             // Some time after the routers' own start, and not at the edge of a window.
             host.now = host.now + ms(10_700);
@@ -215,7 +216,8 @@
     const ALL: usize = 4;
     let mut sent = vec![];
     for number in 0..ALL {
-        let mut host = Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (ALL, number));
+        let mut host =
+            Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (ALL, number));
         host.list(0, EngineStatus::Gone, None);
         host.now = host.now + ms(10_700 + 2_000 * number as u64);
         host.list(1, EngineStatus::Live, Some(host.now));
@@ -232,7 +234,8 @@
     }
     assert!(sent.len() > 100, "the engine is used: {}", sent.len());
     for from in &sent {
-        let within = sent.iter().filter(|at| *at >= from && at.saturating_sub(*from) < ms(2_000)).count() as f64;
+        let within =
+            sent.iter().filter(|at| *at >= from && at.saturating_sub(*from) < ms(2_000)).count() as f64;
         // Factor 2, 8 cores of which a quarter at the start and all after 15 s, 2 s, jobs of 0.1 s.
         let most = 2.0 * 8.0 * (0.25 + 0.75 * from.secs() / 15.0) * 2.0 / 0.1;
         assert!(within <= most + 2.0 * most.sqrt() + 2.0, "{within} in a window, {most} are allowed");
@@ -311,7 +314,12 @@
     assert_eq!((host.sent.len(), host.throttled.as_slice()), (2, [job].as_slice()));
     for (concurrent_dispatches, max_dispatches) in [(false, 4), (true, 1)] {
         let mut host = Host::new(|start| {
-            start.further = RetryLimits { concurrent_dispatches, max_dispatches, can_cancel: false, ..start.further.clone() };
+            start.further = RetryLimits {
+                concurrent_dispatches,
+                max_dispatches,
+                can_cancel: false,
+                ..start.further.clone()
+            };
         });
         host.job(LOOKUP, 1);
         host.pass(900);
@@ -763,7 +771,16 @@
         for mark in 0..8 {
             let id = EngineId(2 + (mark + turned) % 8);
             let (zone, kind) = (ZoneId(0), KindId(0));
-            host.router.engine_listed(host.now, id, zone, kind, CellId(0), EngineStatus::Live, None, mark as u64);
+            host.router.engine_listed(
+                host.now,
+                id,
+                zone,
+                kind,
+                CellId(0),
+                EngineStatus::Live,
+                None,
+                mark as u64,
+            );
         }
         (0..8).for_each(|_| _ = host.job(LOAD, 3));
         host.pull();
