--- a/crates/gossip/src/budget.rs
+++ b/crates/gossip/src/budget.rs
@@ -1,30 +1,30 @@
-//! Token buckets: so much a second, with room for a burst.
+//! A token bucket that limits a rate and allows a burst.
 
 use woadhook::{Moment, Span};
 
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    per_s: f64,
-    burst: f64,
+pub struct TokenBucket {
+    tokens_per_s: f64,
+    capacity: f64,
     level: f64,
-    at: Moment,
+    refilled_at: Moment,
 }
 
-impl Bucket {
-    /// A full bucket that holds what `burst` brings.
-    pub fn new(now: Moment, per_s: f64, burst: Span) -> Self {
-        let burst = (per_s * burst.secs()).max(1.0);
-        Self { per_s, burst, level: burst, at: now }
+impl TokenBucket {
+    /// Returns a full bucket. Its capacity is what accumulates during `burst`, and at least 1.
+    pub fn new(now: Moment, tokens_per_s: f64, burst: Span) -> Self {
+        let capacity = (tokens_per_s * burst.secs()).max(1.0);
+        Self { tokens_per_s, capacity, level: capacity, refilled_at: now }
     }
 
-    /// Takes `count` if so much is there.
+    /// Removes `count` tokens and returns true if that many are available, otherwise removes none.
     pub fn take(&mut self, now: Moment, count: f64) -> bool {
-        self.level = (self.level + self.per_s * now.since(self.at).secs()).min(self.burst);
-        self.at = self.at.max(now);
-        let there = self.level >= count;
-        if there {
+        self.level = (self.level + self.tokens_per_s * now.since(self.refilled_at).secs()).min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
+        let available = self.level >= count;
+        if available {
             self.level -= count;
         }
-        there
+        available
     }
 }
--- a/crates/gossip/src/bytes.rs
+++ b/crates/gossip/src/bytes.rs
@@ -1,4 +1,4 @@
-//! Fields as bytes, big-endian: read from the front of a slice, written one behind another.
+//! Reads and writes big-endian fields.
 
 /// Reads big-endian fields from the front of a slice.
 pub struct Reader<'a>(&'a [u8]);
@@ -12,7 +12,7 @@
         self.0.is_empty()
     }
 
-    /// What is not read yet.
+    /// Returns the bytes that have not been read yet.
     pub fn rest(&self) -> &'a [u8] {
         self.0
     }
@@ -39,9 +39,9 @@
         self.array().map(u64::from_be_bytes)
     }
 
-    /// Bytes behind a length of one byte, `most` at most.
-    pub fn short(&mut self, most: usize) -> Option<&'a [u8]> {
-        let length = self.u8().map(usize::from).filter(|length| *length <= most)?;
+    /// Reads bytes that are prefixed by their length in one byte. Returns `None` if the length exceeds `max`.
+    pub fn length_prefixed(&mut self, max: usize) -> Option<&'a [u8]> {
+        let length = self.u8().map(usize::from).filter(|length| *length <= max)?;
         self.take(length)
     }
 }
@@ -50,12 +50,12 @@
 pub struct Writer(Vec<u8>);
 
 impl Writer {
-    pub fn with_room(bytes: usize) -> Self {
-        Self(Vec::with_capacity(bytes))
+    pub fn with_capacity(capacity: usize) -> Self {
+        Self(Vec::with_capacity(capacity))
     }
 
-    /// What is written so far.
-    pub fn so_far(&self) -> &[u8] {
+    /// Returns the bytes written so far.
+    pub fn written(&self) -> &[u8] {
         &self.0
     }
 
@@ -75,7 +75,7 @@
         self.bytes(&value.to_be_bytes());
     }
 
-    pub fn short(&mut self, bytes: &[u8]) {
+    pub fn length_prefixed(&mut self, bytes: &[u8]) {
         self.u8(bytes.len() as u8);
         self.bytes(bytes);
     }
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -1,4 +1,4 @@
-//! What an instance holds, and how it speaks: every datagram and every word to the host goes out here.
+//! The state of one instance and its outgoing datagrams and events.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,45 +8,45 @@
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
 
-use crate::budget::Bucket;
+use crate::budget::TokenBucket;
 use crate::bytes::Writer;
+use crate::item_queue::{ItemQueue, Topic};
 use crate::keys::{Identity, MemberId, Revocation, TrustStore, VoterSet, micros};
-use crate::members::{Members, NOBODY};
-use crate::news::{About, News};
-use crate::observe::Observer;
+use crate::members::{MemberTable, NO_MEMBER};
+use crate::observations::ObservationTable;
+use crate::own_observations::OwnObservations;
 use crate::wire::{
     self, DatagramKind, EngineCondition, MAX_DATAGRAM_BYTES, MemberRecord, TaggedItem, encode_signed,
     envelope_bytes,
 };
-use crate::words::Words;
 
-/// Signatures may be saved up for so long, and datagrams.
-const BURST: Span = Span::from_micros(500_000);
-/// Part of the checks that strangers may use.
-const STRANGERS: f64 = 0.25;
-/// Reservation types that words on one engine may be about.
-const TYPES: usize = 16;
+/// The time over which the budgets of signature checks and of datagrams may be saved up.
+const BUDGET_BURST: Span = Span::from_micros(500_000);
+/// Fraction of the signature checks that datagrams from unknown addresses may use.
+const UNKNOWN_SENDER_SHARE: f64 = 0.25;
+/// Maximum number of reservation types that the observations about one engine may name.
+const MAX_TYPES_PER_ENGINE: usize = 16;
 
-/// How much, how often and how long.
+/// Period, rate limits, table size and lifetimes of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipConfig {
-    /// Between two pings.
+    /// Interval between two pings.
     pub period: Span,
-    /// Datagrams sent a second, at most.
+    /// Maximum number of datagrams sent per second.
     pub max_sends_per_s: f64,
-    /// Signatures checked a second, at most.
+    /// Maximum number of signatures checked per second.
     pub max_checks_per_s: f64,
-    /// Members remembered, at most.
+    /// Maximum number of members remembered.
     pub max_members: usize,
-    /// By how much clocks may differ.
+    /// Maximum difference between the clocks of two members.
     pub clock_tolerance: Span,
-    /// How long a word counts.
+    /// Age at which an observation no longer counts.
     pub observation_lifetime: Span,
-    /// How long members that are gone are remembered.
+    /// Time after which members that are gone or have left are forgotten.
     pub forget_after: Span,
 }
 
-/// What happened, under a stable name for log lines.
+/// The kind of an event, with a stable name for log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     MemberJoined,
@@ -92,36 +92,38 @@
     }
 }
 
-/// What the host is to do next.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// Others doubt an engine so far, from 0 (no longer) to [`words::MOST_DOUBT`]; of one type or all.
+    /// The suspicion that other members raise about an engine. It ranges from 0 (none) to
+    /// [`MAX_SUSPICION`](crate::observations::MAX_SUSPICION) and concerns one reservation type, or all of
+    /// them if there is none.
     PeerReport {
         engine: String,
         reservation_type: Option<String>,
         suspicion: f64,
     },
-    /// The operator's order of voters, the latest that was heard.
+    /// A newer voter set signed by the operator was accepted.
     VoterSet {
         epoch: u64,
         voters: Vec<MemberId>,
     },
-    /// Another member's words for this instance alone.
+    /// Another member sent a message to this instance alone.
     DirectMessage {
         from: MemberId,
         bytes: Vec<u8>,
     },
-    /// A voter's notice to all.
+    /// A voter sent a notice to all members.
     Notice {
         from: MemberId,
         subject: u8,
         payload: Vec<u8>,
     },
-    /// Worth a log line. The member is told by name, the engine by its own.
+    /// An event worth a log line. `member` and `engine` are names.
     Event {
         kind: EventKind,
         member: Option<String>,
@@ -130,263 +132,283 @@
     },
 }
 
-/// What went in and out since the start; only grows.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     pub sent: u64,
     pub sent_bytes: u64,
-    /// Not sent for want of budget.
+    /// Datagrams not sent because the send budget was used up.
     pub sends_over_budget: u64,
     pub received: u64,
     pub received_bytes: u64,
     pub signature_checks: u64,
-    /// Not of this protocol, version or cluster, or out of form.
+    /// Datagrams of another protocol, version, cluster or receiver, or malformed ones.
     pub foreign: u64,
-    /// Clock too far off, or too old.
-    pub untimely: u64,
-    /// Told before, or of an older start of its sender.
+    /// Datagrams that are too old or whose timestamp is too far ahead.
+    pub bad_timestamp: u64,
+    /// Datagrams received before, or with an older incarnation of their sender.
     pub replayed: u64,
-    /// Pass ended, revoked or not from this operator.
+    /// Datagrams whose sender's pass has ended, is revoked or is not from a known operator key, or whose
+    /// incarnation is too far ahead.
     pub not_admitted: u64,
-    /// A signature did not fit.
-    pub forged: u64,
-    /// Dropped unread, as the budget of checks was used up.
-    pub over_budget: u64,
-    pub words_taken: u64,
-    pub words_refused: u64,
+    /// Datagrams and items with an invalid signature.
+    pub bad_signature: u64,
+    /// Datagrams and items dropped unverified because the budget of signature checks was used up.
+    pub checks_over_budget: u64,
+    pub observations_accepted: u64,
+    pub observations_rejected: u64,
 }
 
-/// A ping that is out.
+/// A ping that has not been answered yet.
 pub(crate) struct Probe {
-    pub(crate) to: MemberId,
-    pub(crate) mark: u64,
+    pub(crate) target: MemberId,
+    pub(crate) datagram_id: u64,
     pub(crate) sent: Moment,
-    /// Marks of the requests to others.
-    pub(crate) helped: Vec<u64>,
-    pub(crate) asked: bool,
+    /// Ids of the ping requests sent to other members.
+    pub(crate) helper_request_ids: Vec<u64>,
+    pub(crate) helpers_asked: bool,
 }
 
-/// A ping made for another, which is told when it is answered.
-pub(crate) struct Errand {
-    pub(crate) mark: u64,
-    pub(crate) for_whom: SocketAddr,
-    pub(crate) member: MemberId,
-    pub(crate) re: u64,
+/// A ping sent on behalf of another member, which is notified when the answer arrives.
+pub(crate) struct RelayedPing {
+    pub(crate) datagram_id: u64,
+    pub(crate) requester: SocketAddr,
+    pub(crate) target: MemberId,
+    pub(crate) request_id: u64,
     pub(crate) sent: Moment,
 }
 
 pub struct Gossip {
-    pub(crate) own: Identity,
-    pub(crate) ring: TrustStore,
-    pub(crate) card: Rc<MemberRecord>,
+    pub(crate) identity: Identity,
+    pub(crate) trust_store: TrustStore,
+    pub(crate) record: Rc<MemberRecord>,
     pub(crate) address: SocketAddr,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) pace: GossipConfig,
-    pub(crate) chance: Pcg32,
-    pub(crate) members: Members,
-    pub(crate) news: News,
-    pub(crate) words: Words,
-    pub(crate) observer: Observer,
-    /// Emptied as the host pulls; bounded, as each input adds a few at most and the sends are budgeted.
-    pub(crate) todo: VecDeque<Action>,
-    /// Bounded by `PROBES`; emptied by answers and time.
+    pub(crate) config: GossipConfig,
+    pub(crate) rng: Pcg32,
+    pub(crate) members: MemberTable,
+    pub(crate) item_queue: ItemQueue,
+    pub(crate) observations: ObservationTable,
+    pub(crate) own_observations: OwnObservations,
+    /// Actions not yet fetched by the host. The queue stays short, as each input adds only a few and sends
+    /// are limited by a budget.
+    pub(crate) actions: VecDeque<Action>,
+    /// At most `MAX_PROBES`. Answers and time remove entries.
     pub(crate) probes: Vec<Probe>,
-    pub(crate) errands: VecDeque<Errand>,
-    /// Accused members to be pinged out of turn, `TO_CHECK` at most.
-    pub(crate) to_check: VecDeque<MemberId>,
-    /// Members in the order of their pings; refilled when empty.
-    pub(crate) round: Vec<MemberId>,
-    pub(crate) number: u64,
-    pub(crate) word_number: u64,
-    pub(crate) periods: u64,
+    pub(crate) relayed_pings: VecDeque<RelayedPing>,
+    /// Suspects to be probed before their turn, at most `MAX_SUSPECTS_TO_PROBE`.
+    pub(crate) suspects_to_probe: VecDeque<MemberId>,
+    /// Members in the order in which they are probed, refilled when empty.
+    pub(crate) probe_order: Vec<MemberId>,
+    pub(crate) datagram_number: u64,
+    pub(crate) observation_number: u64,
+    pub(crate) period_count: u64,
     pub(crate) next_period: Moment,
     pub(crate) next_pull: Moment,
-    pub(crate) cursor: MemberId,
-    /// How the last view that was told differs: not, a little, or by many members.
-    pub(crate) behind: Behind,
-    pub(crate) refuted: Option<Moment>,
-    pub(crate) swept: Moment,
-    pub(crate) sends: Bucket,
-    pub(crate) checks: Bucket,
-    pub(crate) strangers: Bucket,
-    pub(crate) ending_told: bool,
-    pub(crate) left: bool,
-    pub(crate) order: Option<VoterSet>,
-    /// The latest number of each voter's notices, by subject; emptied with each order.
-    pub(crate) noticed: BTreeMap<(MemberId, u8), u64>,
-    pub(crate) counts: Counters,
+    pub(crate) pull_cursor: MemberId,
+    /// How much the view most recently received from another member differs from the own one.
+    pub(crate) view_difference: ViewDifference,
+    pub(crate) last_refutation: Option<Moment>,
+    pub(crate) last_sweep: Moment,
+    pub(crate) send_budget: TokenBucket,
+    pub(crate) check_budget: TokenBucket,
+    pub(crate) unknown_sender_budget: TokenBucket,
+    pub(crate) pass_ending_reported: bool,
+    pub(crate) has_left: bool,
+    pub(crate) voter_set: Option<VoterSet>,
+    /// The latest notice number of each voter and subject, cleared with each new voter set.
+    pub(crate) notice_numbers: BTreeMap<(MemberId, u8), u64>,
+    pub(crate) counters: Counters,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Behind {
-    Not,
-    Little,
-    Much,
+pub(crate) enum ViewDifference {
+    None,
+    Small,
+    Large,
 }
 
 impl Gossip {
-    /// `address` is where others send to; `seeds` are asked first.
+    /// Creates an instance that other members reach at `address`. `seeds` are the addresses contacted first.
     pub fn new(
-        now: Moment, seed: u64, own: Identity, ring: TrustStore, address: SocketAddr, seeds: Vec<SocketAddr>,
-        pace: GossipConfig,
+        now: Moment, seed: u64, identity: Identity, trust_store: TrustStore, address: SocketAddr,
+        seeds: Vec<SocketAddr>, config: GossipConfig,
     ) -> Self {
-        let mut chance = Pcg32::seed_from_u64(seed);
-        let card = Rc::new(MemberRecord::issue(&own, address, micros(now) / 1000, false));
-        let first = pace.period.mul_f64(chance.random::<f64>());
-        let bucket = |per_s| Bucket::new(now, per_s, BURST);
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let record = Rc::new(MemberRecord::issue(&identity, address, micros(now) / 1000, false));
+        let first_delay = config.period.mul_f64(rng.random::<f64>());
+        let bucket = |per_s| TokenBucket::new(now, per_s, BUDGET_BURST);
         let mut new = Self {
-            members: Members::new(own.id(), pace.max_members),
-            news: News::default(),
-            words: Words::new(pace.observation_lifetime, pace.clock_tolerance, TYPES),
-            observer: Observer::default(),
-            todo: VecDeque::new(),
+            members: MemberTable::new(identity.id(), config.max_members),
+            item_queue: ItemQueue::default(),
+            observations: ObservationTable::new(
+                config.observation_lifetime,
+                config.clock_tolerance,
+                MAX_TYPES_PER_ENGINE,
+            ),
+            own_observations: OwnObservations::default(),
+            actions: VecDeque::new(),
             probes: Vec::new(),
-            errands: VecDeque::new(),
-            to_check: VecDeque::new(),
-            round: Vec::new(),
-            number: 0,
-            word_number: 0,
-            periods: 0,
-            next_period: now + first,
+            relayed_pings: VecDeque::new(),
+            suspects_to_probe: VecDeque::new(),
+            probe_order: Vec::new(),
+            datagram_number: 0,
+            observation_number: 0,
+            period_count: 0,
+            next_period: now + first_delay,
             next_pull: now,
-            cursor: NOBODY,
-            behind: Behind::Much,
-            refuted: None,
-            swept: now,
-            sends: bucket(pace.max_sends_per_s),
-            checks: bucket(pace.max_checks_per_s * (1.0 - STRANGERS)),
-            strangers: bucket(pace.max_checks_per_s * STRANGERS),
-            ending_told: false,
-            left: false,
-            order: None,
-            noticed: BTreeMap::new(),
-            counts: Counters::default(),
-            own,
-            ring,
-            card,
+            pull_cursor: NO_MEMBER,
+            view_difference: ViewDifference::Large,
+            last_refutation: None,
+            last_sweep: now,
+            send_budget: bucket(config.max_sends_per_s),
+            check_budget: bucket(config.max_checks_per_s * (1.0 - UNKNOWN_SENDER_SHARE)),
+            unknown_sender_budget: bucket(config.max_checks_per_s * UNKNOWN_SENDER_SHARE),
+            pass_ending_reported: false,
+            has_left: false,
+            voter_set: None,
+            notice_numbers: BTreeMap::new(),
+            counters: Counters::default(),
+            identity,
+            trust_store,
+            record,
             address,
             seeds,
-            pace,
-            chance,
+            config,
+            rng,
         };
-        new.tell_own_card();
-        for revocation in new.ring.revocations().cloned().collect::<Vec<_>>() {
-            new.tell_revocation(&revocation);
+        new.queue_own_record();
+        for revocation in new.trust_store.revocations().cloned().collect::<Vec<_>>() {
+            new.queue_revocation(&revocation);
         }
         new
     }
 
     pub fn id(&self) -> MemberId {
-        self.own.id()
+        self.identity.id()
     }
 
     pub fn counters(&self) -> Counters {
-        self.counts
+        self.counters
     }
 
-    /// Members that live, this one among them.
+    /// Returns the number of live members, this one included.
     pub fn live_members(&self) -> usize {
-        self.members.count()
+        self.members.live_count()
     }
 
-    /// A digest of who lives at which incarnation; equal at instances whose views agree.
+    /// Returns a digest of the live members and their incarnations. It is equal at instances whose views
+    /// agree.
     pub fn view_digest(&self) -> u64 {
-        self.members.digest(self.card.incarnation)
+        self.members.view_digest(self.record.incarnation)
     }
 
-    /// Names, addresses and incarnations of the others that live.
+    /// Returns the names, addresses and incarnations of the other live members.
     pub fn live_peers(&self) -> impl Iterator<Item = (&str, SocketAddr, u64)> {
-        self.members.living().map(|(_, m)| (m.card.pass.name.as_str(), m.card.address, m.card.incarnation))
+        self.members
+            .live()
+            .map(|(_, m)| (m.record.pass.name.as_str(), m.record.address, m.record.incarnation))
     }
 
-    /// How far a member's words are worth anything here, from 0 to 1.
+    /// Returns how much a member's observations count here, from 0 to 1.
     pub fn credit(&self, member: MemberId) -> f64 {
         self.members.get(member).map_or(0.0, |member| member.credit())
     }
 
-    /// The own card, for a table that is filled beforehand.
+    /// Returns the own member record, for filling the tables of others in advance.
     pub fn own_record(&self) -> Rc<MemberRecord> {
-        self.card.clone()
+        self.record.clone()
     }
 
-    /// Fills the table with cards that are known to be good, as from a lasting copy.
-    pub fn preload_members(&mut self, now: Moment, cards: impl Iterator<Item = Rc<MemberRecord>>) {
-        for card in cards {
-            self.members.take(now, card);
+    /// Fills the member table with records that are known to be good, such as from a stored copy.
+    pub fn preload_members(&mut self, now: Moment, records: impl Iterator<Item = Rc<MemberRecord>>) {
+        for record in records {
+            self.members.apply_record(now, record);
         }
     }
 
-    pub(crate) fn event(
+    pub(crate) fn push_event(
         &mut self, kind: EventKind, member: Option<String>, engine: Option<&str>,
         condition: Option<EngineCondition>,
     ) {
-        self.todo.push_back(Action::Event { kind, member, engine: engine.map(str::to_owned), condition });
+        self.actions.push_back(Action::Event { kind, member, engine: engine.map(str::to_owned), condition });
     }
 
-    pub(crate) fn hearsay(&mut self, now: Moment, engine: &str, reservation_type: Option<String>) {
-        let suspicion = self.words.doubt(now, engine, reservation_type.as_deref(), &self.members);
-        self.todo.push_back(Action::PeerReport { engine: engine.to_owned(), reservation_type, suspicion });
+    pub(crate) fn push_peer_report(&mut self, now: Moment, engine: &str, reservation_type: Option<String>) {
+        let suspicion = self.observations.suspicion(now, engine, reservation_type.as_deref(), &self.members);
+        self.actions.push_back(Action::PeerReport { engine: engine.to_owned(), reservation_type, suspicion });
     }
 
-    /// One datagram, filled with news as far as `most` allows; gives its mark if the budget let it out.
+    /// Sends one datagram and fills the remaining space up to the maximum length with queued items. Returns
+    /// the datagram's id, or `None` if the send budget is used up or `items` do not fit.
     pub(crate) fn send(
-        &mut self, now: Moment, kind: DatagramKind, to: MemberId, at: SocketAddr, re: u64, about: MemberId,
-        first: Vec<TaggedItem>, fill: usize,
+        &mut self, now: Moment, kind: DatagramKind, to: MemberId, address: SocketAddr, in_reply_to: u64,
+        about: MemberId, items: Vec<TaggedItem>, padded_length: usize,
     ) -> Option<u64> {
-        self.send_within(now, kind, to, at, re, about, first, fill, MAX_DATAGRAM_BYTES)
+        self.send_limited(
+            now,
+            kind,
+            to,
+            address,
+            in_reply_to,
+            about,
+            items,
+            padded_length,
+            MAX_DATAGRAM_BYTES,
+        )
     }
 
-    pub(crate) fn send_within(
-        &mut self, now: Moment, kind: DatagramKind, to: MemberId, at: SocketAddr, re: u64, about: MemberId,
-        mut first: Vec<TaggedItem>, fill: usize, most: usize,
+    pub(crate) fn send_limited(
+        &mut self, now: Moment, kind: DatagramKind, to: MemberId, address: SocketAddr, in_reply_to: u64,
+        about: MemberId, mut items: Vec<TaggedItem>, padded_length: usize, max_bytes: usize,
     ) -> Option<u64> {
-        let base = envelope_bytes(self.card.bytes.len());
-        let taken: usize = first.iter().map(|(_, bytes)| bytes.len() + wire::ITEM_HEAD_BYTES).sum();
-        let room = most.checked_sub(base + taken)?;
-        if !self.sends.take(now, 1.0) {
-            self.counts.sends_over_budget += 1;
+        let overhead = envelope_bytes(self.record.bytes.len());
+        let items_length: usize = items.iter().map(|(_, bytes)| bytes.len() + wire::ITEM_HEAD_BYTES).sum();
+        let available = max_bytes.checked_sub(overhead + items_length)?;
+        if !self.send_budget.take(now, 1.0) {
+            self.counters.sends_over_budget += 1;
             return None;
         }
-        // A pull is padded so that its page may be as large, not to carry news.
+        // A pull is padded so that the answering page may be as large. It carries no queued items.
         if kind != DatagramKind::Pull {
-            first.extend(self.news.take(to, room, self.members.count()));
+            items.extend(self.item_queue.take(to, available, self.members.live_count()));
         }
-        self.number += 1;
-        let view = (self.members.count().min(u16::MAX.into()) as u16, self.view_digest());
-        let (bytes, mark) = encode_signed(
-            &self.own,
+        self.datagram_number += 1;
+        let view = (self.members.live_count().min(u16::MAX.into()) as u16, self.view_digest());
+        let (bytes, datagram_id) = encode_signed(
+            &self.identity,
             kind,
             to,
             now,
-            self.number,
-            re,
+            self.datagram_number,
+            in_reply_to,
             about,
             view,
-            &self.card.bytes,
-            &first,
-            fill.min(most),
+            &self.record.bytes,
+            &items,
+            padded_length.min(max_bytes),
         );
-        self.counts.sent += 1;
-        self.counts.sent_bytes += bytes.len() as u64;
-        self.todo.push_back(Action::Send { to: at, bytes });
-        Some(mark)
+        self.counters.sent += 1;
+        self.counters.sent_bytes += bytes.len() as u64;
+        self.actions.push_back(Action::Send { to: address, bytes });
+        Some(datagram_id)
     }
 
-    pub(crate) fn tell_own_card(&mut self) {
-        self.news.add(About::MemberRecord(self.own.id()), self.card.bytes.clone());
+    pub(crate) fn queue_own_record(&mut self) {
+        self.item_queue.add(Topic::MemberRecord(self.identity.id()), self.record.bytes.clone());
     }
 
-    pub(crate) fn tell_revocation(&mut self, revocation: &Revocation) {
+    pub(crate) fn queue_revocation(&mut self, revocation: &Revocation) {
         let mut out = Writer::default();
         revocation.write(&mut out);
-        self.news.add(About::Revocation(revocation.member), out.into_bytes().into());
+        self.item_queue.add(Topic::Revocation(revocation.member), out.into_bytes().into());
     }
 
-    /// Signs a new card, at a higher incarnation.
-    pub(crate) fn renew(&mut self, now: Moment, at_least: u64) {
-        let incarnation = (self.card.incarnation + 1).max(at_least);
-        self.card = Rc::new(MemberRecord::issue(&self.own, self.address, incarnation, self.left));
-        self.refuted = Some(now);
-        self.tell_own_card();
+    /// Signs a new own record with a higher incarnation, `at_least` or more.
+    pub(crate) fn renew_record(&mut self, now: Moment, at_least: u64) {
+        let incarnation = (self.record.incarnation + 1).max(at_least);
+        self.record = Rc::new(MemberRecord::issue(&self.identity, self.address, incarnation, self.has_left));
+        self.last_refutation = Some(now);
+        self.queue_own_record();
     }
 }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -1,8 +1,8 @@
-//! Who belongs: keys, passes signed by the operator, and keys that no longer belong.
+//! Keys, the passes by which the operator admits them to a cluster, and revocations.
 //!
-//! Each instance has an ed25519 key (RFC 8032). The operator signs a pass for its public half: name, cluster, from, until. So
-//! another instance needs no change at the others. Every signature covers a prefix of its own kind, so that none
-//! can be taken for one of another kind.
+//! Each instance has an ed25519 key (RFC 8032). The operator signs a pass for its public half, with a name, a
+//! cluster and a period of validity, so a new instance needs no change at the others. Every signature covers
+//! a prefix that is specific to the kind of signed data, so that no signature can be used for another kind.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,10 +15,10 @@
 
 use crate::bytes::{Reader, Writer};
 
-/// The longest name of an instance, in bytes.
-pub const NAME_BYTES: usize = 32;
-/// Revoked keys that are remembered; each goes when its pass would have ended.
-const REVOKED: usize = 1024;
+/// Maximum length of an instance's name, in bytes.
+pub const MAX_NAME_BYTES: usize = 32;
+/// Maximum number of revocations remembered. Each is forgotten when the revoked key's last pass ends.
+const MAX_REVOCATIONS: usize = 1024;
 
 /// A hash of an instance's public key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,7 +46,8 @@
     }
 }
 
-/// The first eight bytes of SHA-512 over the parts, the first of which tells what is hashed.
+/// Returns the first eight bytes of SHA-512 over the parts, each prefixed by its length. The first part names
+/// what is hashed.
 pub fn hash(parts: &[&[u8]]) -> u64 {
     let mut digest = Sha512::new();
     for part in parts {
@@ -54,15 +55,15 @@
         digest.update(part);
     }
     let first = digest.finalize();
-    u64::from_be_bytes(std::array::from_fn(|place| first[place]))
+    u64::from_be_bytes(std::array::from_fn(|index| first[index]))
 }
 
-/// Which kind of thing is signed.
+/// The kind of data that a signature covers.
 #[derive(Clone, Copy, Debug)]
-pub enum Sealed {
+pub enum SignedKind {
     Pass,
-    Record,
-    Accusation,
+    MemberRecord,
+    FailureReport,
     Observation,
     Revocation,
     Envelope,
@@ -70,45 +71,47 @@
     Notice,
 }
 
-impl Sealed {
+impl SignedKind {
     fn prefix(self) -> &'static [u8; 12] {
         match self {
-            Sealed::Pass => b"wdhk pass  1",
-            Sealed::Record => b"wdhk recrd 1",
-            Sealed::Accusation => b"wdhk accus 1",
-            Sealed::Observation => b"wdhk word  1",
-            Sealed::Revocation => b"wdhk revok 1",
-            Sealed::Envelope => b"wdhk envlp 1",
-            Sealed::VoterSet => b"wdhk order 1",
-            Sealed::Notice => b"wdhk notic 1",
+            SignedKind::Pass => b"wdhk pass  1",
+            SignedKind::MemberRecord => b"wdhk recrd 1",
+            SignedKind::FailureReport => b"wdhk accus 1",
+            SignedKind::Observation => b"wdhk word  1",
+            SignedKind::Revocation => b"wdhk revok 1",
+            SignedKind::Envelope => b"wdhk envlp 1",
+            SignedKind::VoterSet => b"wdhk order 1",
+            SignedKind::Notice => b"wdhk notic 1",
         }
     }
 
-    fn covered(self, bytes: &[u8]) -> Vec<u8> {
+    fn with_prefix(self, bytes: &[u8]) -> Vec<u8> {
         [self.prefix(), bytes].concat()
     }
 }
 
-/// A secret key. It has no `Debug`, and is wiped when dropped.
+/// An ed25519 secret key. It has no `Debug` and is wiped from memory when dropped.
 pub struct SecretKey(SigningKey);
 
 impl SecretKey {
-    /// From 32 random bytes.
+    /// Creates a key from 32 random bytes.
     pub fn from_bytes(bytes: &[u8; 32]) -> Self {
         Self(SigningKey::from_bytes(bytes))
     }
 
-    /// The text of a key file.
+    /// Returns the text of a key file.
     pub fn to_text(&self) -> Zeroizing<String> {
         let hex = Zeroizing::new(HEX.encode(self.0.as_bytes()));
-        Zeroizing::new(format!("{SECRET}\n{}\n", *hex))
+        Zeroizing::new(format!("{SECRET_KEY_TITLE}\n{}\n", *hex))
     }
 
     /// Reads the text of a key file.
     pub fn from_text(text: &str) -> Result<Self, String> {
-        let bytes = Zeroizing::new(decoded(text, SECRET)?);
-        let bytes: [u8; 32] =
-            bytes.as_slice().try_into().map_err(|_| format!("no {SECRET}: 64 hex digits"))?;
+        let bytes = Zeroizing::new(decode_body(text, SECRET_KEY_TITLE)?);
+        let bytes: [u8; 32] = bytes
+            .as_slice()
+            .try_into()
+            .map_err(|_| format!("line 2: not a {SECRET_KEY_TITLE}, allowed are 64 hex digits"))?;
         Ok(Self::from_bytes(&Zeroizing::new(bytes)))
     }
 
@@ -116,26 +119,26 @@
         self.0.verifying_key().to_bytes()
     }
 
-    pub fn sign(&self, kind: Sealed, bytes: &[u8]) -> [u8; 64] {
-        self.0.sign(&kind.covered(bytes)).to_bytes()
+    pub fn sign(&self, kind: SignedKind, bytes: &[u8]) -> [u8; 64] {
+        self.0.sign(&kind.with_prefix(bytes)).to_bytes()
     }
 }
 
-/// Whether the key signed this.
-pub fn verify(key: &[u8; 32], kind: Sealed, bytes: &[u8], signature: &[u8; 64]) -> bool {
+/// Returns whether the key signed these bytes as this kind of data.
+pub fn verify(key: &[u8; 32], kind: SignedKind, bytes: &[u8], signature: &[u8; 64]) -> bool {
     let Ok(key) = VerifyingKey::from_bytes(key) else { return false };
-    key.verify_strict(&kind.covered(bytes), &Signature::from_bytes(signature)).is_ok()
+    key.verify_strict(&kind.with_prefix(bytes), &Signature::from_bytes(signature)).is_ok()
 }
 
-const SECRET: &str = "woadhook secret key";
-const PASS: &str = "woadhook pass";
-const REVOCATIONS: &str = "woadhook revoked keys";
-const ORDER: &str = "woadhook order of voters";
-/// The most voters that an order names.
+const SECRET_KEY_TITLE: &str = "woadhook secret key";
+const PASS_TITLE: &str = "woadhook pass";
+const REVOCATIONS_TITLE: &str = "woadhook revoked keys";
+const VOTER_SET_TITLE: &str = "woadhook order of voters";
+/// Maximum number of voters in a voter set.
 pub const MAX_VOTERS: usize = 7;
 
-/// The bytes behind the first line of a file, which must be the title.
-fn decoded(text: &str, title: &str) -> Result<Vec<u8>, String> {
+/// Decodes the hex digits on a file's second line. The first line must be the title.
+fn decode_body(text: &str, title: &str) -> Result<Vec<u8>, String> {
     let mut lines = text.lines();
     if lines.next() != Some(title) {
         return Err(format!("line 1: allowed is \"{title}\""));
@@ -144,11 +147,11 @@
     HEX.decode(line.as_bytes()).map_err(|_| "line 2: allowed are hex digits".to_owned())
 }
 
-/// A public key as the operator file and the command line write it: 64 hex digits.
+/// Reads a public key as the operator file and the command line write it, which is 64 hex digits.
 pub fn public_key_from_text(text: &str) -> Result<[u8; 32], String> {
     let bytes = HEX.decode(text.trim().as_bytes()).ok().and_then(|bytes| <[u8; 32]>::try_from(bytes).ok());
     let bytes = bytes.ok_or_else(|| format!("{text}: allowed are 64 hex digits"))?;
-    VerifyingKey::from_bytes(&bytes).map_err(|_| format!("{text}: no ed25519 public key"))?;
+    VerifyingKey::from_bytes(&bytes).map_err(|_| format!("{text}: not an ed25519 public key"))?;
     Ok(bytes)
 }
 
@@ -156,7 +159,7 @@
     HEX.encode(key)
 }
 
-/// The operator's word that a key belongs to a cluster.
+/// An admission of a key to a cluster for a period of time, signed by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pass {
     pub name: String,
@@ -164,31 +167,33 @@
     pub cluster: ClusterId,
     pub from: Moment,
     pub until: Moment,
-    /// The operator key that signed it.
+    /// The operator key that signed the pass.
     pub signer: MemberId,
     signature: [u8; 64],
 }
 
 impl Pass {
-    /// Signs a pass. Names are 1 to 32 printable ASCII bytes.
+    /// Signs a pass. Names consist of 1 to 32 printable ASCII characters.
     pub fn issue(
         operator: &SecretKey, name: &str, key: [u8; 32], cluster: ClusterId, from: Moment, until: Moment,
     ) -> Result<Self, String> {
-        if !(1..=NAME_BYTES).contains(&name.len()) || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Err(format!("name {name:?}: allowed are 1 to {NAME_BYTES} printable ASCII characters"));
+        if !(1..=MAX_NAME_BYTES).contains(&name.len()) || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
+            return Err(format!(
+                "name {name:?}: allowed are 1 to {MAX_NAME_BYTES} printable ASCII characters"
+            ));
         }
         if until <= from {
             return Err("the pass ends before it begins".to_owned());
         }
         let signer = MemberId::of_key(&operator.public());
         let mut pass = Self { name: name.to_owned(), key, cluster, from, until, signer, signature: [0; 64] };
-        pass.signature = operator.sign(Sealed::Pass, &pass.body());
+        pass.signature = operator.sign(SignedKind::Pass, &pass.body());
         Ok(pass)
     }
 
     fn body(&self) -> Vec<u8> {
         let mut out = Writer::default();
-        out.short(self.name.as_bytes());
+        out.length_prefixed(self.name.as_bytes());
         out.bytes(&self.key);
         out.u64(self.cluster.0);
         out.u64(micros(self.from));
@@ -203,7 +208,7 @@
     }
 
     pub(crate) fn read(from: &mut Reader<'_>) -> Option<Self> {
-        let name = from.short(NAME_BYTES)?;
+        let name = from.length_prefixed(MAX_NAME_BYTES)?;
         if name.is_empty() || !name.iter().all(u8::is_ascii_graphic) {
             return None;
         }
@@ -221,14 +226,14 @@
     pub fn to_text(&self) -> String {
         let mut out = Writer::default();
         self.write(&mut out);
-        format!("{PASS}\n{}\n", HEX.encode(&out.into_bytes()))
+        format!("{PASS_TITLE}\n{}\n", HEX.encode(&out.into_bytes()))
     }
 
     pub fn from_text(text: &str) -> Result<Self, String> {
-        let bytes = decoded(text, PASS)?;
+        let bytes = decode_body(text, PASS_TITLE)?;
         let mut reader = Reader::new(&bytes);
         let pass = Self::read(&mut reader).filter(|_| reader.is_empty());
-        pass.ok_or_else(|| "line 2: no pass".to_owned())
+        pass.ok_or_else(|| "line 2: not a pass".to_owned())
     }
 
     pub fn id(&self) -> MemberId {
@@ -236,12 +241,12 @@
     }
 }
 
-/// The operator's word that a key no longer belongs.
+/// A revocation of a key of a cluster, signed by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Revocation {
     pub member: MemberId,
     pub cluster: ClusterId,
-    /// When the last pass of that key ends, and this can be forgotten.
+    /// When the key's last pass ends, after which the revocation can be forgotten.
     pub until: Moment,
     pub signer: MemberId,
     signature: [u8; 64],
@@ -252,7 +257,7 @@
         let signer = MemberId::of_key(&operator.public());
         let mut revocation =
             Self { member: MemberId::of_key(key), cluster, until, signer, signature: [0; 64] };
-        revocation.signature = operator.sign(Sealed::Revocation, &revocation.body());
+        revocation.signature = operator.sign(SignedKind::Revocation, &revocation.body());
         revocation
     }
 
@@ -279,9 +284,9 @@
         })
     }
 
-    /// The text of a file that holds these.
+    /// Returns the text of a file that holds these revocations.
     pub fn list_to_text(list: &[Self]) -> String {
-        let mut text = format!("{REVOCATIONS}\n");
+        let mut text = format!("{REVOCATIONS_TITLE}\n");
         for revocation in list {
             let mut out = Writer::default();
             revocation.write(&mut out);
@@ -293,26 +298,26 @@
 
     pub fn list_from_text(text: &str) -> Result<Vec<Self>, String> {
         let mut lines = text.lines();
-        if lines.next() != Some(REVOCATIONS) {
-            return Err(format!("line 1: allowed is \"{REVOCATIONS}\""));
+        if lines.next() != Some(REVOCATIONS_TITLE) {
+            return Err(format!("line 1: allowed is \"{REVOCATIONS_TITLE}\""));
         }
         let read = |(number, line): (usize, &str)| {
             let bytes = HEX.decode(line.trim().as_bytes()).unwrap_or_default();
             let mut reader = Reader::new(&bytes);
             let read = Self::read(&mut reader).filter(|_| reader.is_empty());
-            read.ok_or_else(|| format!("line {}: no revocation", number + 2))
+            read.ok_or_else(|| format!("line {}: not a revocation", number + 2))
         };
         lines.filter(|line| !line.trim().is_empty()).enumerate().map(read).collect()
     }
 }
 
-/// The operator's word on who votes, from an epoch on.
+/// The voters from an epoch on, signed by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterSet {
     pub cluster: ClusterId,
-    /// Grows with each order; one of an earlier epoch says nothing any more.
+    /// Grows with each voter set. One with an earlier epoch no longer has any effect.
     pub epoch: u64,
-    /// One to [`MAX_VOTERS`], rising.
+    /// From 1 to [`MAX_VOTERS`] ids in ascending order without repeats.
     pub voters: Vec<MemberId>,
     pub signer: MemberId,
     signature: [u8; 64],
@@ -332,9 +337,9 @@
             return Err("epoch 0 given, allowed are 1 and more".to_owned());
         }
         let signer = MemberId::of_key(&operator.public());
-        let mut new = Self { cluster, epoch, voters, signer, signature: [0; 64] };
-        new.signature = operator.sign(Sealed::VoterSet, &new.body());
-        Ok(new)
+        let mut voter_set = Self { cluster, epoch, voters, signer, signature: [0; 64] };
+        voter_set.signature = operator.sign(SignedKind::VoterSet, &voter_set.body());
+        Ok(voter_set)
     }
 
     fn body(&self) -> Vec<u8> {
@@ -357,105 +362,119 @@
             return None;
         }
         let voters = (0..count).map(|_| from.u64().map(MemberId)).collect::<Option<Vec<_>>>()?;
-        let rising = voters.windows(2).all(|two| two[0] < two[1]);
+        let ascending = voters.windows(2).all(|two| two[0] < two[1]);
         let signature = from.array()?;
-        (rising && from.is_empty()).then_some(Self { cluster, epoch, voters, signer, signature })
+        (ascending && from.is_empty()).then_some(Self { cluster, epoch, voters, signer, signature })
     }
 
     pub fn to_text(&self) -> String {
-        format!("{ORDER}\n{}\n", HEX.encode(&self.to_bytes()))
+        format!("{VOTER_SET_TITLE}\n{}\n", HEX.encode(&self.to_bytes()))
     }
 
     pub fn from_text(text: &str) -> Result<Self, String> {
-        Self::read(&decoded(text, ORDER)?).ok_or_else(|| "line 2: no order".to_owned())
+        Self::read(&decode_body(text, VOTER_SET_TITLE)?)
+            .ok_or_else(|| "line 2: not an order of voters".to_owned())
     }
 }
 
-/// Whom an instance believes: the operator's keys of one cluster, and what they revoked.
+/// What an instance trusts: the operator's public keys for one cluster, and the revocations signed by them.
 pub struct TrustStore {
     pub cluster: ClusterId,
-    operators: Vec<[u8; 32]>,
-    /// Emptied as the passes of these keys end.
+    operator_keys: Vec<[u8; 32]>,
+    /// Each entry is removed when the last pass of its key ends.
     revoked: BTreeMap<MemberId, Revocation>,
 }
 
 impl TrustStore {
-    /// `operators` are public keys; two while the operator's key is changed.
-    pub fn new(cluster: ClusterId, operators: Vec<[u8; 32]>) -> Self {
-        Self { cluster, operators, revoked: BTreeMap::new() }
+    /// `operator_keys` are public keys. There are two while the operator's key is being replaced.
+    pub fn new(cluster: ClusterId, operator_keys: Vec<[u8; 32]>) -> Self {
+        Self { cluster, operator_keys, revoked: BTreeMap::new() }
     }
 
-    fn signed(&self, signer: MemberId, kind: Sealed, body: &[u8], signature: &[u8; 64]) -> bool {
-        let operator = self.operators.iter().find(|key| MemberId::of_key(key) == signer);
+    fn is_signed_by_operator(
+        &self, signer: MemberId, kind: SignedKind, body: &[u8], signature: &[u8; 64],
+    ) -> bool {
+        let operator = self.operator_keys.iter().find(|key| MemberId::of_key(key) == signer);
         operator.is_some_and(|key| verify(key, kind, body, signature))
     }
 
-    /// Whether a pass could be of use now, before its signature is looked at.
-    pub fn fits(&self, pass: &Pass, now: Moment, tolerance: Span) -> bool {
+    /// Returns whether a pass could be accepted now. Its signature is not checked.
+    pub fn may_accept_pass(&self, pass: &Pass, now: Moment, clock_tolerance: Span) -> bool {
         pass.cluster == self.cluster
-            && now + tolerance >= pass.from
-            && now < pass.until + tolerance
+            && now + clock_tolerance >= pass.from
+            && now < pass.until + clock_tolerance
             && !self.revoked.contains_key(&pass.id())
-            && self.operators.iter().any(|key| MemberId::of_key(key) == pass.signer)
+            && self.operator_keys.iter().any(|key| MemberId::of_key(key) == pass.signer)
     }
 
     pub fn verifies_pass(&self, pass: &Pass) -> bool {
-        self.signed(pass.signer, Sealed::Pass, &pass.body(), &pass.signature)
+        self.is_signed_by_operator(pass.signer, SignedKind::Pass, &pass.body(), &pass.signature)
     }
 
-    pub fn verifies_voter_set(&self, order: &VoterSet) -> bool {
-        order.cluster == self.cluster
-            && self.signed(order.signer, Sealed::VoterSet, &order.body(), &order.signature)
+    pub fn verifies_voter_set(&self, voter_set: &VoterSet) -> bool {
+        voter_set.cluster == self.cluster
+            && self.is_signed_by_operator(
+                voter_set.signer,
+                SignedKind::VoterSet,
+                &voter_set.body(),
+                &voter_set.signature,
+            )
     }
 
     pub fn is_revoked(&self, member: MemberId) -> bool {
         self.revoked.contains_key(&member)
     }
 
-    /// Takes a revocation in, if the operator signed it and it is new.
+    /// Stores a revocation if it is new, has not expired and is signed by an operator key, and there is space
+    /// for it. Returns whether it was stored.
     pub fn revoke(&mut self, revocation: &Revocation, now: Moment) -> bool {
-        let new = revocation.cluster == self.cluster
+        let is_new = revocation.cluster == self.cluster
             && revocation.until > now
             && !self.revoked.contains_key(&revocation.member)
-            && self.revoked.len() < REVOKED
-            && self.signed(revocation.signer, Sealed::Revocation, &revocation.body(), &revocation.signature);
-        if new {
+            && self.revoked.len() < MAX_REVOCATIONS
+            && self.is_signed_by_operator(
+                revocation.signer,
+                SignedKind::Revocation,
+                &revocation.body(),
+                &revocation.signature,
+            );
+        if is_new {
             self.revoked.insert(revocation.member, revocation.clone());
         }
-        new
+        is_new
     }
 
     pub fn revocations(&self) -> impl Iterator<Item = &Revocation> {
         self.revoked.values()
     }
 
-    pub(crate) fn let_go(&mut self, now: Moment) {
+    pub(crate) fn remove_expired(&mut self, now: Moment) {
         self.revoked.retain(|_, revocation| revocation.until > now);
     }
 }
 
-/// An instance's own key and its pass.
+/// An instance's own secret key and pass.
 pub struct Identity {
     pub(crate) secret: SecretKey,
     pub(crate) pass: Pass,
 }
 
 impl Identity {
-    /// Checks that they go together and that the ring believes the pass.
-    pub fn new(secret: SecretKey, pass: Pass, ring: &TrustStore, now: Moment) -> Result<Self, String> {
+    /// Returns an error unless the key and the pass belong together and the trust store accepts the pass.
+    pub fn new(secret: SecretKey, pass: Pass, trust_store: &TrustStore, now: Moment) -> Result<Self, String> {
         if pass.key != secret.public() {
             return Err("the pass is for another key".to_owned());
         }
-        if pass.cluster != ring.cluster {
+        if pass.cluster != trust_store.cluster {
             return Err("the pass is for another cluster".to_owned());
         }
-        if !ring.verifies_pass(&pass) {
+        if !trust_store.verifies_pass(&pass) {
             return Err("the pass is not signed by one of the operator's keys".to_owned());
         }
         if now >= pass.until {
             return Err("the pass has ended".to_owned());
         }
-        if ring.is_revoked(pass.id()) {
+        if trust_store.is_revoked(pass.id()) {
             return Err("the key has been revoked".to_owned());
         }
         Ok(Self { secret, pass })
@@ -469,7 +488,7 @@
         self.pass.id()
     }
 
-    /// When the pass ends.
+    /// Returns when the pass ends.
     pub fn until(&self) -> Moment {
         self.pass.until
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,26 +1,28 @@
-//! Instances find one another and share suspicions about engines, in a world where any of them may lie, lag or vanish.
+//! Lets instances of the router find one another and share observations about engines. Any of them may lie,
+//! be slow or disappear.
 //!
-//! The core has no I/O, clock or thread. It is told what came ([`Gossip::receive`]), what this instance met
-//! ([`Gossip::engine_judged`], [`Gossip::dispatch_ended`], [`Gossip::set_engines`]) and then gives out what to do, one by one, until there is
-//! nothing ([`Gossip::next_action`]); [`Gossip::next_deadline`] says when it wants to be asked again. Chance comes from a seed.
+//! The core has no I/O, clock or thread. The host reports received datagrams ([`Gossip::receive`]) and its
+//! own experience ([`Gossip::engine_judged`], [`Gossip::dispatch_ended`], [`Gossip::set_engines`]), and then
+//! fetches actions one at a time until there are none left ([`Gossip::next_action`]).
+//! [`Gossip::next_deadline`] returns when to call it again. Random draws come from a seed.
 //!
-//! What is said here never decides where a job goes: it comes out as [`Action::PeerReport`], a doubt between 0 and 1 on one engine.
-//! `docs/design/gossip.md` tells why it is built so.
+//! Reports of other members never decide where a job goes. They leave the core as [`Action::PeerReport`], a
+//! suspicion between 0 and 1 about one engine. `docs/design/gossip.md` explains the design.
 
-mod belong;
 pub mod budget;
 pub mod bytes;
-mod hear;
+mod engine_events;
 mod instance;
+pub mod item_queue;
+mod key_changes;
 pub mod keys;
 pub mod members;
-pub mod news;
-pub mod observe;
-mod own;
-mod round;
-pub mod voters;
+pub mod observations;
+pub mod own_observations;
+mod periodic;
+mod receive;
+pub mod voter_messages;
 pub mod wire;
-pub mod words;
 
 pub use crate::instance::{Action, Counters, EventKind, Gossip, GossipConfig};
 pub use crate::wire::EngineCondition;
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -1,4 +1,5 @@
-//! The table of members: what each says of itself, who accuses it, and how far its words are worth anything.
+//! The table of members: their signed records, which of them are suspected to have failed, and how much their
+//! observations count.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -6,27 +7,30 @@
 
 use woadhook::{Moment, Span};
 
-use crate::budget::Bucket;
+use crate::budget::TokenBucket;
 use crate::keys::{MemberId, hash, micros};
-use crate::wire::{Accusation, MemberRecord};
-
-/// Witnesses of different names that make a suspect gone without an own failed probe.
-pub const WITNESSES: usize = 3;
-/// Words, and accusations, that a member may bring a second, and for how long it may save them up.
-const STATEMENTS_PER_S: f64 = 4.0;
-const STATEMENTS_BURST: Span = Span::from_micros(8_000_000);
-/// Below this, a member's words are not heard: four contradictions in a row.
-pub const LEAST_CREDIT: f64 = 0.1;
-
-/// Numbers of one incarnation seen lately, so that none counts twice; bears reordering by up to 64 (RFC 6479's way).
+use crate::wire::{FailureReport, MemberRecord};
+
+/// Number of reporters with different names that make a suspect gone without a failed probe by this instance
+/// itself.
+pub const MIN_REPORTERS: usize = 3;
+/// Observations per second, and separately failure reports per second, that are accepted from one member.
+const ITEMS_PER_S: f64 = 4.0;
+/// The time over which a member may save up such a budget.
+const ITEMS_BURST: Span = Span::from_micros(8_000_000);
+/// Observations of a member with less credit are ignored. Four contradictions in a row lead there.
+pub const MIN_CREDIT: f64 = 0.1;
+
+/// Sequence numbers of one incarnation seen recently, so that no datagram counts twice. Reordering by fewer
+/// than 64 numbers is tolerated, as in RFC 6479.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     last: u64,
     bits: u64,
 }
 
-impl Window {
-    /// Whether the number is new here.
+impl ReplayWindow {
+    /// Returns whether the number has not been seen yet.
     pub fn is_new(&self, number: u64) -> bool {
         if number > self.last {
             return true;
@@ -35,7 +39,8 @@
         back < 64 && self.bits & (1 << back) == 0
     }
 
-    pub fn note(&mut self, number: u64) {
+    /// Marks a number as seen.
+    pub fn record(&mut self, number: u64) {
         if number > self.last {
             let ahead = number - self.last;
             self.bits = if ahead < 64 { self.bits << ahead } else { 0 } | 1;
@@ -49,11 +54,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
     Alive,
-    /// Since when, whether the own probe failed, and the hashed names of those who accuse it.
+    /// Since when the member is a suspect, whether this instance's own probe failed, and the hashed names of
+    /// the members that reported its failure.
     Suspect {
         since: Moment,
-        own: bool,
-        by: Vec<u64>,
+        own_probe_failed: bool,
+        reporters: Vec<u64>,
     },
     Gone {
         since: Moment,
@@ -64,355 +70,371 @@
 }
 
 pub struct Member {
-    pub card: Rc<MemberRecord>,
+    pub record: Rc<MemberRecord>,
     pub state: State,
-    /// The hash of its name: two keys of one name are one witness.
-    pub who: u64,
-    pub window: Window,
-    /// Whether an answer came from its address that only who was asked there could give.
-    pub proven: bool,
-    /// The last fresh word straight from it.
-    pub heard: Option<Moment>,
+    /// The hash of the member's name. Two keys with the same name count as one reporter.
+    pub name_hash: u64,
+    pub replay_window: ReplayWindow,
+    /// Whether the member's address returned the id of a datagram, which only a receiver at that address can
+    /// know.
+    pub address_verified: bool,
+    /// When the last fresh datagram arrived from the member itself.
+    pub last_contact: Option<Moment>,
     credit: f64,
-    words: Bucket,
-    accusations: Bucket,
-    spent: bool,
+    observation_budget: TokenBucket,
+    report_budget: TokenBucket,
+    distrusted: bool,
 }
 
 impl Member {
-    fn new(card: Rc<MemberRecord>, now: Moment) -> Self {
+    fn new(record: Rc<MemberRecord>, now: Moment) -> Self {
         Self {
-            who: hash(&[b"name", card.pass.name.as_bytes()]),
-            card,
+            name_hash: hash(&[b"name", record.pass.name.as_bytes()]),
+            record,
             state: State::Alive,
-            window: Window::default(),
-            proven: false,
-            heard: None,
+            replay_window: ReplayWindow::default(),
+            address_verified: false,
+            last_contact: None,
             credit: 1.0,
-            words: Bucket::new(now, STATEMENTS_PER_S, STATEMENTS_BURST),
-            accusations: Bucket::new(now, STATEMENTS_PER_S, STATEMENTS_BURST),
-            spent: false,
+            observation_budget: TokenBucket::new(now, ITEMS_PER_S, ITEMS_BURST),
+            report_budget: TokenBucket::new(now, ITEMS_PER_S, ITEMS_BURST),
+            distrusted: false,
         }
     }
 
-    pub fn lives(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect { .. })
     }
 
-    /// Whether it may bring another word on an engine now, and another accusation.
-    pub fn may_say(&mut self, now: Moment) -> bool {
-        self.words.take(now, 1.0)
+    /// Takes one observation from the member's budget. Returns false if the budget is used up.
+    pub fn take_observation_budget(&mut self, now: Moment) -> bool {
+        self.observation_budget.take(now, 1.0)
     }
 
-    pub fn may_accuse(&mut self, now: Moment) -> bool {
-        self.accusations.take(now, 1.0)
+    /// Takes one failure report from the member's budget. Returns false if the budget is used up.
+    pub fn take_report_budget(&mut self, now: Moment) -> bool {
+        self.report_budget.take(now, 1.0)
     }
 
-    /// From 0 to 1.
+    /// Returns how much the member's observations count, from 0 to 1.
     pub fn credit(&self) -> f64 {
-        if self.spent { 0.0 } else { self.credit }
+        if self.distrusted { 0.0 } else { self.credit }
     }
 
-    /// Own experience spoke against its word.
-    pub fn contradicted(&mut self) {
+    /// Halves the credit after own experience contradicted an observation of the member.
+    pub fn lower_credit(&mut self) {
         self.credit *= 0.5;
-        self.spent |= self.credit < LEAST_CREDIT;
+        self.distrusted |= self.credit < MIN_CREDIT;
     }
 
-    /// A step back to full credit, for time passed or a word borne out.
-    pub fn regain(&mut self, step: f64) {
+    /// Raises the credit by `step`, as time passes or after a confirmed observation.
+    pub fn raise_credit(&mut self, step: f64) {
         self.credit = (self.credit + step).min(1.0);
-        self.spent &= self.credit < 0.25;
+        self.distrusted &= self.credit < 0.25;
     }
 }
 
-/// What a card brought.
+/// The effect of a record or a datagram on the state of its member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    Nothing,
+pub enum MemberChange {
+    Unchanged,
     Joined,
-    /// Gone or left before, or a higher incarnation of one that was.
+    /// The member was gone or had left before, and is live again.
     Back,
-    /// A suspect spoke for itself.
+    /// A suspect showed that it is live.
     Refuted,
     Renewed,
     Left,
-    /// The table is full of living members.
-    NoRoom,
+    /// The table is full of live members.
+    TableFull,
 }
 
-/// What an accusation came to.
+/// The effect of a failure report or a failed probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Charge {
-    /// Not known, not at that incarnation, not living, or told before.
-    Idle,
-    New,
-    Another,
+pub enum ReportEffect {
+    /// The subject is unknown, not live or at another incarnation, or the report was counted before.
+    Ignored,
+    NewSuspect,
+    Counted,
 }
 
-/// What time alone brought.
+/// A change that happens with time alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lapse {
+pub enum TimedChange {
     Gone,
-    /// Accused by too few for too long.
+    /// A member that was suspected for long by too few reporters is live again.
     Cleared,
     Forgotten,
-    /// Its pass has ended.
-    Ended,
+    /// The member's pass has ended.
+    PassEnded,
 }
 
-pub struct Members {
-    own: MemberId,
-    /// Holds `most` lines at most; gone and left ones are emptied after the time to forget, or for a new one.
-    lines: BTreeMap<MemberId, Member>,
-    most: usize,
-    living: usize,
-    suspects: usize,
-    digest: u64,
+pub struct MemberTable {
+    own_id: MemberId,
+    /// At most `capacity` members. Gone and left ones are removed when their time to be forgotten comes, or
+    /// to make space for a new one.
+    members: BTreeMap<MemberId, Member>,
+    capacity: usize,
+    live_count: usize,
+    suspect_count: usize,
+    peer_digest: u64,
 }
 
-impl Members {
-    pub fn new(own: MemberId, most: usize) -> Self {
-        Self { own, lines: BTreeMap::new(), most, living: 0, suspects: 0, digest: 0 }
+impl MemberTable {
+    pub fn new(own_id: MemberId, capacity: usize) -> Self {
+        Self { own_id, members: BTreeMap::new(), capacity, live_count: 0, suspect_count: 0, peer_digest: 0 }
     }
 
-    /// This instance has another key from now on; what is known of the others stays.
-    pub fn rename(&mut self, own: MemberId) {
-        self.remove(own);
-        self.own = own;
+    /// Sets a new own id after this instance changed its key. What is known about the others is kept.
+    pub fn replace_own_id(&mut self, own_id: MemberId) {
+        self.remove(own_id);
+        self.own_id = own_id;
     }
 
     pub fn get(&self, id: MemberId) -> Option<&Member> {
-        self.lines.get(&id)
+        self.members.get(&id)
     }
 
     pub fn get_mut(&mut self, id: MemberId) -> Option<&mut Member> {
-        self.lines.get_mut(&id)
+        self.members.get_mut(&id)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.lines.iter().map(|(id, member)| (*id, member))
+        self.members.iter().map(|(id, member)| (*id, member))
     }
 
-    /// Those that live, this instance left out.
-    pub fn living(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.iter().filter(|(_, member)| member.lives())
+    /// Returns the live members except this instance.
+    pub fn live(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.iter().filter(|(_, member)| member.is_live())
     }
 
-    /// How many live, this instance among them.
-    pub fn count(&self) -> usize {
-        self.living + 1
+    /// Returns the number of live members, this instance included.
+    pub fn live_count(&self) -> usize {
+        self.live_count + 1
     }
 
-    /// Of which members live at which incarnations, those of this instance among them; the same at all who agree.
-    pub fn digest(&self, own_incarnation: u64) -> u64 {
-        self.digest ^ part(self.own, own_incarnation)
+    /// Returns a digest of the live members and their incarnations, this instance included. It is equal at
+    /// instances whose views agree.
+    pub fn view_digest(&self, own_incarnation: u64) -> u64 {
+        self.peer_digest ^ digest_part(self.own_id, own_incarnation)
     }
 
-    fn shift(&mut self, id: MemberId, state: State) {
-        let Some(member) = self.lines.get_mut(&id) else { return };
-        let suspect = |member: &Member| usize::from(matches!(member.state, State::Suspect { .. }));
-        let (before, incarnation) = (member.lives(), member.card.incarnation);
-        self.suspects -= suspect(member);
+    fn set_state(&mut self, id: MemberId, state: State) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        let is_suspect = |member: &Member| usize::from(matches!(member.state, State::Suspect { .. }));
+        let (before, incarnation) = (member.is_live(), member.record.incarnation);
+        self.suspect_count -= is_suspect(member);
         member.state = state;
-        self.suspects += suspect(member);
-        let after = member.lives();
+        self.suspect_count += is_suspect(member);
+        let after = member.is_live();
         if before != after {
-            self.digest ^= part(id, incarnation);
-            if after { self.living += 1 } else { self.living -= 1 }
+            self.peer_digest ^= digest_part(id, incarnation);
+            if after { self.live_count += 1 } else { self.live_count -= 1 }
         }
     }
 
-    /// Takes in a card that was found believable.
-    pub fn take(&mut self, now: Moment, card: Rc<MemberRecord>) -> Change {
-        let id = card.id;
-        if id == self.own {
-            return Change::Nothing;
+    /// Applies a record whose signatures were verified.
+    pub fn apply_record(&mut self, now: Moment, record: Rc<MemberRecord>) -> MemberChange {
+        let id = record.id;
+        if id == self.own_id {
+            return MemberChange::Unchanged;
         }
-        let Some(known) = self.lines.get_mut(&id) else {
-            if self.lines.len() >= self.most && !self.make_room() {
-                return Change::NoRoom;
+        let Some(known) = self.members.get_mut(&id) else {
+            if self.members.len() >= self.capacity && !self.evict_oldest() {
+                return MemberChange::TableFull;
             }
-            let leaving = card.leaving;
+            let leaving = record.leaving;
             let state = State::Left { since: now };
-            self.lines.insert(id, Member { state: state.clone(), ..Member::new(card, now) });
+            self.members.insert(id, Member { state: state.clone(), ..Member::new(record, now) });
             if leaving {
-                return Change::Nothing;
+                return MemberChange::Unchanged;
             }
-            self.shift(id, State::Alive);
-            return Change::Joined;
+            self.set_state(id, State::Alive);
+            return MemberChange::Joined;
         };
-        if card.incarnation <= known.card.incarnation {
-            return Change::Nothing;
+        if record.incarnation <= known.record.incarnation {
+            return MemberChange::Unchanged;
         }
-        let (before, leaving) = (known.state.clone(), card.leaving);
-        let moved = known.card.address != card.address;
-        let counted = known.lives();
-        let old = std::mem::replace(&mut known.card, card.clone());
-        known.proven &= !moved;
-        known.window = Window::default();
-        if counted {
-            self.digest ^= part(id, old.incarnation) ^ part(id, card.incarnation);
+        let (before, leaving) = (known.state.clone(), record.leaving);
+        let moved = known.record.address != record.address;
+        let was_live = known.is_live();
+        let old = std::mem::replace(&mut known.record, record.clone());
+        known.address_verified &= !moved;
+        known.replay_window = ReplayWindow::default();
+        if was_live {
+            self.peer_digest ^= digest_part(id, old.incarnation) ^ digest_part(id, record.incarnation);
         }
-        self.shift(id, if leaving { State::Left { since: now } } else { State::Alive });
+        self.set_state(id, if leaving { State::Left { since: now } } else { State::Alive });
         match before {
             _ if leaving => {
-                if counted {
-                    Change::Left
+                if was_live {
+                    MemberChange::Left
                 } else {
-                    Change::Nothing
+                    MemberChange::Unchanged
                 }
             }
-            State::Gone { .. } | State::Left { .. } => Change::Back,
-            State::Suspect { .. } => Change::Refuted,
-            State::Alive => Change::Renewed,
+            State::Gone { .. } | State::Left { .. } => MemberChange::Back,
+            State::Suspect { .. } => MemberChange::Refuted,
+            State::Alive => MemberChange::Renewed,
         }
     }
 
-    fn make_room(&mut self) -> bool {
+    fn evict_oldest(&mut self) -> bool {
         let since = |member: &Member| match member.state {
             State::Gone { since } | State::Left { since } => Some(since),
             _ => None,
         };
         let oldest = self.iter().filter_map(|(id, member)| Some((since(member)?, id))).min();
-        oldest.is_some_and(|(_, id)| self.lines.remove(&id).is_some())
+        oldest.is_some_and(|(_, id)| self.members.remove(&id).is_some())
     }
 
-    /// A fresh word straight from a member: it lives, whatever was said.
-    pub fn spoke(&mut self, now: Moment, id: MemberId) -> Change {
-        let Some(member) = self.lines.get_mut(&id) else { return Change::Nothing };
-        member.heard = Some(now);
+    /// Records a fresh datagram from a member itself, which shows that it is live whatever others reported.
+    pub fn record_contact(&mut self, now: Moment, id: MemberId) -> MemberChange {
+        let Some(member) = self.members.get_mut(&id) else { return MemberChange::Unchanged };
+        member.last_contact = Some(now);
         match member.state.clone() {
             State::Gone { .. } => {
-                self.shift(id, State::Alive);
-                Change::Back
+                self.set_state(id, State::Alive);
+                MemberChange::Back
             }
-            State::Suspect { own: true, by, .. } if by.is_empty() => {
-                self.shift(id, State::Alive);
-                Change::Refuted
+            State::Suspect { own_probe_failed: true, reporters, .. } if reporters.is_empty() => {
+                self.set_state(id, State::Alive);
+                MemberChange::Refuted
             }
-            State::Suspect { since, by, .. } => {
-                self.shift(id, State::Suspect { since, own: false, by });
-                Change::Nothing
+            State::Suspect { since, reporters, .. } => {
+                self.set_state(id, State::Suspect { since, own_probe_failed: false, reporters });
+                MemberChange::Unchanged
             }
-            _ => Change::Nothing,
+            _ => MemberChange::Unchanged,
         }
     }
 
-    /// The own probe of a member failed.
-    pub fn unanswered(&mut self, now: Moment, id: MemberId) -> Charge {
-        let Some(member) = self.lines.get(&id) else { return Charge::Idle };
+    /// Records that the own probe of a member failed.
+    pub fn probe_failed(&mut self, now: Moment, id: MemberId) -> ReportEffect {
+        let Some(member) = self.members.get(&id) else { return ReportEffect::Ignored };
         match member.state.clone() {
             State::Alive => {
-                self.shift(id, State::Suspect { since: now, own: true, by: Vec::new() });
-                Charge::New
+                self.set_state(
+                    id,
+                    State::Suspect { since: now, own_probe_failed: true, reporters: Vec::new() },
+                );
+                ReportEffect::NewSuspect
             }
-            State::Suspect { own: false, since, by } => {
-                self.shift(id, State::Suspect { since, own: true, by });
-                Charge::Another
+            State::Suspect { own_probe_failed: false, since, reporters } => {
+                self.set_state(id, State::Suspect { since, own_probe_failed: true, reporters });
+                ReportEffect::Counted
             }
-            _ => Charge::Idle,
+            _ => ReportEffect::Ignored,
         }
     }
 
-    /// Whether an accusation would change anything, so that its signature is worth a look.
-    pub fn is_open_to(&self, accusation: &Accusation) -> bool {
-        let Some(subject) = self.lines.get(&accusation.subject) else { return false };
-        let Some(witness) = self.lines.get(&accusation.witness) else { return false };
-        let counted = match &subject.state {
+    /// Returns whether a failure report would change anything, so that its signature is worth checking.
+    pub fn would_count(&self, report: &FailureReport) -> bool {
+        let Some(subject) = self.members.get(&report.subject) else { return false };
+        let Some(reporter) = self.members.get(&report.reporter) else { return false };
+        let already_counted = match &subject.state {
             State::Alive => false,
-            State::Suspect { by, .. } => by.contains(&witness.who) || by.len() >= 2 * WITNESSES,
+            State::Suspect { reporters, .. } => {
+                reporters.contains(&reporter.name_hash) || reporters.len() >= 2 * MIN_REPORTERS
+            }
             _ => true,
         };
-        !counted
-            && witness.lives()
-            && witness.who != subject.who
-            && accusation.incarnation == subject.card.incarnation
+        !already_counted
+            && reporter.is_live()
+            && reporter.name_hash != subject.name_hash
+            && report.incarnation == subject.record.incarnation
     }
 
-    /// Takes in an accusation that its witness signed.
-    pub fn accused(&mut self, now: Moment, accusation: &Accusation) -> Charge {
-        if !self.is_open_to(accusation) {
-            return Charge::Idle;
+    /// Applies a failure report whose signature was verified.
+    pub fn apply_failure_report(&mut self, now: Moment, report: &FailureReport) -> ReportEffect {
+        if !self.would_count(report) {
+            return ReportEffect::Ignored;
         }
-        let Some(who) = self.lines.get(&accusation.witness).map(|witness| witness.who) else {
-            return Charge::Idle;
+        let Some(name_hash) = self.members.get(&report.reporter).map(|reporter| reporter.name_hash) else {
+            return ReportEffect::Ignored;
         };
-        let Some(subject) = self.lines.get(&accusation.subject) else { return Charge::Idle };
+        let Some(subject) = self.members.get(&report.subject) else { return ReportEffect::Ignored };
         match subject.state.clone() {
-            State::Suspect { since, own, mut by } => {
-                by.push(who);
-                self.shift(accusation.subject, State::Suspect { since, own, by });
-                Charge::Another
+            State::Suspect { since, own_probe_failed, mut reporters } => {
+                reporters.push(name_hash);
+                self.set_state(report.subject, State::Suspect { since, own_probe_failed, reporters });
+                ReportEffect::Counted
             }
             _ => {
-                self.shift(accusation.subject, State::Suspect { since: now, own: false, by: vec![who] });
-                Charge::New
+                self.set_state(
+                    report.subject,
+                    State::Suspect { since: now, own_probe_failed: false, reporters: vec![name_hash] },
+                );
+                ReportEffect::NewSuspect
             }
         }
     }
 
-    /// Whether time alone may soon end someone.
-    pub fn any_suspect(&self) -> bool {
-        self.suspects > 0
+    /// Returns whether any member is a suspect, whose state time alone may change soon.
+    pub fn has_suspects(&self) -> bool {
+        self.suspect_count > 0
     }
 
-    /// What time alone brought since the last call. Suspects are gone after `suspicion`, if enough stand against them,
-    /// and cleared after twice that else; who is gone is forgotten after `forget`.
-    pub fn lapse(
-        &mut self, now: Moment, suspicion: Span, forget: Span, tolerance: Span,
-    ) -> Vec<(MemberId, Lapse, Rc<MemberRecord>)> {
-        let due = |member: &Member| match &member.state {
-            _ if now > member.card.pass.until + tolerance => Some(Lapse::Ended),
-            State::Suspect { since, own, by } => {
-                let for_long = now.since(*since);
-                if for_long > suspicion && (*own || by.len() >= WITNESSES) {
-                    Some(Lapse::Gone)
+    /// Applies the changes that time brought since the last call and returns them. A suspect is gone after
+    /// `suspicion_timeout` if the own probe failed or enough others reported it, and is otherwise cleared
+    /// after twice that time. A member that is gone or has left is forgotten after `forget_after`.
+    pub fn apply_timeouts(
+        &mut self, now: Moment, suspicion_timeout: Span, forget_after: Span, clock_tolerance: Span,
+    ) -> Vec<(MemberId, TimedChange, Rc<MemberRecord>)> {
+        let change = |member: &Member| match &member.state {
+            _ if now > member.record.pass.until + clock_tolerance => Some(TimedChange::PassEnded),
+            State::Suspect { since, own_probe_failed, reporters } => {
+                let suspected_for = now.since(*since);
+                if suspected_for > suspicion_timeout
+                    && (*own_probe_failed || reporters.len() >= MIN_REPORTERS)
+                {
+                    Some(TimedChange::Gone)
                 } else {
-                    (for_long > suspicion.mul_f64(2.0)).then_some(Lapse::Cleared)
+                    (suspected_for > suspicion_timeout.mul_f64(2.0)).then_some(TimedChange::Cleared)
                 }
             }
             State::Gone { since } | State::Left { since } => {
-                (now.since(*since) > forget).then_some(Lapse::Forgotten)
+                (now.since(*since) > forget_after).then_some(TimedChange::Forgotten)
             }
             State::Alive => None,
         };
-        let due: Vec<_> = self.iter().filter_map(|(id, m)| Some((id, due(m)?, m.card.clone()))).collect();
-        for (id, lapse, _) in &due {
-            match lapse {
-                Lapse::Gone => self.shift(*id, State::Gone { since: now }),
-                Lapse::Cleared => self.shift(*id, State::Alive),
-                Lapse::Forgotten | Lapse::Ended => self.remove(*id),
+        let changes: Vec<_> =
+            self.iter().filter_map(|(id, m)| Some((id, change(m)?, m.record.clone()))).collect();
+        for (id, change, _) in &changes {
+            match change {
+                TimedChange::Gone => self.set_state(*id, State::Gone { since: now }),
+                TimedChange::Cleared => self.set_state(*id, State::Alive),
+                TimedChange::Forgotten | TimedChange::PassEnded => self.remove(*id),
             }
         }
-        due
+        changes
     }
 
     pub fn remove(&mut self, id: MemberId) {
-        self.shift(id, State::Gone { since: Moment::default() });
-        self.lines.remove(&id);
+        self.set_state(id, State::Gone { since: Moment::default() });
+        self.members.remove(&id);
     }
 
-    /// Cards of living members behind an id, in the order of ids, and all over from the start when they end there.
-    pub fn behind(&self, cursor: MemberId) -> impl Iterator<Item = &Rc<MemberRecord>> {
-        let after = self.lines.range((Bound::Excluded(cursor), Bound::Unbounded));
-        after.filter(|(_, member)| member.lives()).map(|(_, member)| &member.card)
+    /// Returns the records of live members whose id is greater than `cursor`, in ascending order of ids.
+    pub fn records_after(&self, cursor: MemberId) -> impl Iterator<Item = &Rc<MemberRecord>> {
+        let after = self.members.range((Bound::Excluded(cursor), Bound::Unbounded));
+        after.filter(|(_, member)| member.is_live()).map(|(_, member)| &member.record)
     }
 
-    pub fn regain_all(&mut self, step: f64) {
-        self.lines.values_mut().for_each(|member| member.regain(step));
+    pub fn raise_credits(&mut self, step: f64) {
+        self.members.values_mut().for_each(|member| member.raise_credit(step));
     }
 }
 
-fn part(id: MemberId, incarnation: u64) -> u64 {
+fn digest_part(id: MemberId, incarnation: u64) -> u64 {
     hash(&[b"living", &id.0.to_be_bytes(), &incarnation.to_be_bytes()])
 }
 
-/// The id of no member, which stands for the start of the table and for who is not known.
-pub const NOBODY: MemberId = MemberId(0);
+/// The id of no member. It stands for the start and the end of the table, and for an unknown member.
+pub const NO_MEMBER: MemberId = MemberId(0);
 
-/// Whether an incarnation runs ahead of the clock by more than refutations explain.
-pub fn runs_ahead(incarnation: u64, now: Moment, tolerance: Span) -> bool {
-    const REFUTATIONS: Span = Span::from_micros(60_000_000);
-    incarnation > micros(now + tolerance + REFUTATIONS) / 1000
+/// Returns whether an incarnation is ahead of the clock by more than refutations explain.
+pub fn is_too_far_ahead(incarnation: u64, now: Moment, clock_tolerance: Span) -> bool {
+    const REFUTATION_ALLOWANCE: Span = Span::from_micros(60_000_000);
+    incarnation > micros(now + clock_tolerance + REFUTATION_ALLOWANCE) / 1000
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams and the statements in them, as bytes. Reading never allocates more than it was given, and knows nothing
-//! of who may be believed.
+//! Encodes and decodes datagrams and the items in them. Decoding never allocates more than the length of its
+//! input, and does not decide who is trusted.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -7,30 +7,32 @@
 use woadhook::Moment;
 
 use crate::bytes::{Reader, Writer};
-use crate::keys::{ClusterId, Identity, MemberId, Pass, Revocation, Sealed, VoterSet, micros, verify};
+use crate::keys::{ClusterId, Identity, MemberId, Pass, Revocation, SignedKind, VoterSet, micros, verify};
 
-/// The largest datagram, in bytes: fits the least MTU of IPv6 with room for tunnels.
+/// Maximum length of a datagram, in bytes. It fits the minimum MTU of IPv6 with space for tunnel headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// What a ping to an address that proved nothing yet is filled up to, so that any answer fits into as much.
+/// Length, in bytes, to which a ping to an unverified address is padded, so that any answer fits into the
+/// same length.
 pub const PADDED_PING_BYTES: usize = 640;
-/// The longest name of an engine and of a reservation type in a word, in bytes.
-pub const ENGINE_BYTES: usize = 64;
-pub const TYPE_BYTES: usize = 32;
+/// Maximum length of an engine's name in an observation, in bytes.
+pub const MAX_ENGINE_NAME_BYTES: usize = 64;
+/// Maximum length of a reservation type's name in an observation, in bytes.
+pub const MAX_TYPE_NAME_BYTES: usize = 32;
 const MAGIC: [u8; 3] = *b"WG\x01";
-const SIGNATURE: usize = 64;
+const SIGNATURE_BYTES: usize = 64;
 
-/// What a datagram asks for.
+/// The purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
-    /// Answer with an ack.
+    /// Asks for an ack.
     Ping,
     Ack,
-    /// Ping the member `about` and tell me if it answers.
+    /// Asks the receiver to ping `about` and to report an answer.
     PingRequest,
-    /// Send cards of living members behind `about`.
+    /// Asks for the records of live members after the id `about`.
     Pull,
     Page,
-    /// Words for the receiver alone; nothing is answered.
+    /// Carries a message for the receiver alone, without an answer.
     Direct,
 }
 
@@ -49,33 +51,41 @@
     }
 }
 
-/// A member as it tells of itself: its pass, and a record that it signed.
+/// A member's description of itself: its pass, and a record that it signed.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
     pub pass: Pass,
     pub id: MemberId,
     pub address: SocketAddr,
-    /// Grows with each start and each refutation: milliseconds of Unix time or more.
+    /// Grows with each start and each refutation. It is the Unix time in milliseconds, or more.
     pub incarnation: u64,
     pub leaving: bool,
     signature: [u8; 64],
-    /// As it travels.
+    /// The encoded record.
     pub bytes: Rc<[u8]>,
 }
 
 impl MemberRecord {
-    pub fn issue(own: &Identity, address: SocketAddr, incarnation: u64, leaving: bool) -> Self {
-        let record = record(own.id(), address, incarnation, leaving);
-        let signature = own.secret.sign(Sealed::Record, &record);
+    pub fn issue(identity: &Identity, address: SocketAddr, incarnation: u64, leaving: bool) -> Self {
+        let body = record_body(identity.id(), address, incarnation, leaving);
+        let signature = identity.secret.sign(SignedKind::MemberRecord, &body);
         let mut out = Writer::default();
-        own.pass.write(&mut out);
-        out.bytes(&record[8..]);
+        identity.pass.write(&mut out);
+        out.bytes(&body[8..]);
         out.bytes(&signature);
         let bytes = out.into_bytes().into();
-        Self { pass: own.pass.clone(), id: own.id(), address, incarnation, leaving, signature, bytes }
+        Self {
+            pass: identity.pass.clone(),
+            id: identity.id(),
+            address,
+            incarnation,
+            leaving,
+            signature,
+            bytes,
+        }
     }
 
-    /// Reads a card, signatures unchecked.
+    /// Decodes a record without checking its signatures.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let mut from = Reader::new(bytes);
         let pass = Pass::read(&mut from)?;
@@ -87,20 +97,20 @@
         let address = SocketAddr::new(ip, from.u16()?);
         let (incarnation, leaving) = (from.u64()?, from.u8()?);
         let signature = from.array()?;
-        let whole = from.is_empty() && leaving <= 1;
+        let complete = from.is_empty() && leaving <= 1;
         let id = pass.id();
         let bytes = bytes.into();
-        whole.then_some(Self { pass, id, address, incarnation, leaving: leaving == 1, signature, bytes })
+        complete.then_some(Self { pass, id, address, incarnation, leaving: leaving == 1, signature, bytes })
     }
 
-    /// Whether its subject signed the record.
-    pub fn is_own_word(&self) -> bool {
-        let record = record(self.id, self.address, self.incarnation, self.leaving);
-        verify(&self.pass.key, Sealed::Record, &record, &self.signature)
+    /// Returns whether the member signed its own record.
+    pub fn is_self_signed(&self) -> bool {
+        let body = record_body(self.id, self.address, self.incarnation, self.leaving);
+        verify(&self.pass.key, SignedKind::MemberRecord, &body, &self.signature)
     }
 }
 
-fn record(id: MemberId, address: SocketAddr, incarnation: u64, leaving: bool) -> Vec<u8> {
+fn record_body(id: MemberId, address: SocketAddr, incarnation: u64, leaving: bool) -> Vec<u8> {
     let mut out = Writer::default();
     out.u64(id.0);
     match address.ip() {
@@ -119,26 +129,26 @@
     out.into_bytes()
 }
 
-/// A member's signed word that another did not answer it, at this incarnation.
+/// A member's signed report that another member, at some incarnation, did not answer it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accusation {
-    pub witness: MemberId,
+pub struct FailureReport {
+    pub reporter: MemberId,
     pub subject: MemberId,
     pub incarnation: u64,
-    pub at: Moment,
+    pub signed_at: Moment,
     signature: [u8; 64],
 }
 
-impl Accusation {
-    pub fn issue(own: &Identity, subject: MemberId, incarnation: u64, at: Moment) -> Self {
-        let mut new = Self { witness: own.id(), subject, incarnation, at, signature: [0; 64] };
-        new.signature = own.secret.sign(Sealed::Accusation, &new.body());
+impl FailureReport {
+    pub fn issue(identity: &Identity, subject: MemberId, incarnation: u64, signed_at: Moment) -> Self {
+        let mut new = Self { reporter: identity.id(), subject, incarnation, signed_at, signature: [0; 64] };
+        new.signature = identity.secret.sign(SignedKind::FailureReport, &new.body());
         new
     }
 
     fn body(&self) -> Vec<u8> {
         let mut out = Writer::default();
-        for part in [self.witness.0, self.subject.0, self.incarnation, micros(self.at)] {
+        for part in [self.reporter.0, self.subject.0, self.incarnation, micros(self.signed_at)] {
             out.u64(part);
         }
         out.into_bytes()
@@ -151,32 +161,32 @@
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let mut from = Reader::new(bytes);
         let read = Self {
-            witness: MemberId(from.u64()?),
+            reporter: MemberId(from.u64()?),
             subject: MemberId(from.u64()?),
             incarnation: from.u64()?,
-            at: Moment::from_micros(from.u64()?),
+            signed_at: Moment::from_micros(from.u64()?),
             signature: from.array()?,
         };
         from.is_empty().then_some(read)
     }
 
     pub fn is_signed_by(&self, key: &[u8; 32]) -> bool {
-        verify(key, Sealed::Accusation, &self.body(), &self.signature)
+        verify(key, SignedKind::FailureReport, &self.body(), &self.signature)
     }
 }
 
-/// What was seen of an engine.
+/// The condition of an engine as a member observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EngineCondition {
-    /// It gave no word while work was out there, or left probes unanswered.
+    /// The engine sent nothing while it had work, or left probes unanswered.
     Silent = 1,
     /// Connections were reset or refused.
     Reset = 2,
-    /// It turns work away.
+    /// The engine turns work away.
     Refusing = 3,
-    /// It ends one type's jobs as errors.
+    /// Jobs of one reservation type end with errors at the engine.
     Failing = 4,
-    /// It does again what it was said not to.
+    /// The engine does again what it was reported not to do.
     Well = 5,
 }
 
@@ -190,10 +200,10 @@
             EngineCondition::Well,
         ]
         .into_iter()
-        .find(|seen| *seen as u8 == byte)
+        .find(|condition| *condition as u8 == byte)
     }
 
-    /// Its stable name in log lines.
+    /// Returns the stable name for log lines.
     pub fn name(self) -> &'static str {
         match self {
             EngineCondition::Silent => "silent",
@@ -205,57 +215,60 @@
     }
 }
 
-/// A member's signed word on an engine.
+/// A member's signed observation about an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     pub reporter: MemberId,
-    /// The witness's incarnation when it said so, and a number that grows with each of its words.
+    /// The reporter's incarnation when it signed the observation.
     pub incarnation: u64,
+    /// Grows with each of the reporter's observations.
     pub number: u64,
-    pub at: Moment,
+    pub signed_at: Moment,
     pub engine: String,
-    /// When the engine came up, as the witness's list has it; zero if it does not say.
-    pub came_up: Moment,
+    /// When the engine started, according to the reporter's list. Zero if the list does not state it.
+    pub started_at: Moment,
     pub condition: EngineCondition,
-    /// The reservation type, where it is about one.
+    /// The reservation type, if the observation is about a single one.
     pub reservation_type: Option<String>,
-    /// How sure the witness is, in 255ths.
+    /// The reporter's confidence, in units of 1/255.
     pub confidence: u8,
     signature: [u8; 64],
 }
 
 impl Observation {
     pub fn issue(
-        own: &Identity, incarnation: u64, number: u64, at: Moment, engine: &str, came_up: Moment,
-        condition: EngineCondition, reservation_type: Option<&str>, confidence: u8,
+        identity: &Identity, incarnation: u64, number: u64, signed_at: Moment, engine: &str,
+        started_at: Moment, condition: EngineCondition, reservation_type: Option<&str>, confidence: u8,
     ) -> Self {
         let (engine, reservation_type) = (engine.to_owned(), reservation_type.map(str::to_owned));
-        let reporter = own.id();
+        let reporter = identity.id();
         let signature = [0; 64];
         let mut new = Self {
             reporter,
             incarnation,
             number,
-            at,
+            signed_at,
             engine,
-            came_up,
+            started_at,
             condition,
             reservation_type,
             confidence,
             signature,
         };
-        new.signature = own.secret.sign(Sealed::Observation, &new.body());
+        new.signature = identity.secret.sign(SignedKind::Observation, &new.body());
         new
     }
 
     fn body(&self) -> Vec<u8> {
         let mut out = Writer::default();
-        for part in [self.reporter.0, self.incarnation, self.number, micros(self.at), micros(self.came_up)] {
+        for part in
+            [self.reporter.0, self.incarnation, self.number, micros(self.signed_at), micros(self.started_at)]
+        {
             out.u64(part);
         }
-        out.short(self.engine.as_bytes());
+        out.length_prefixed(self.engine.as_bytes());
         out.u8(self.condition as u8);
-        out.short(self.reservation_type.as_deref().unwrap_or_default().as_bytes());
+        out.length_prefixed(self.reservation_type.as_deref().unwrap_or_default().as_bytes());
         out.u8(self.confidence);
         out.into_bytes()
     }
@@ -271,11 +284,12 @@
             reporter: MemberId(from.u64()?),
             incarnation: from.u64()?,
             number: from.u64()?,
-            at: Moment::from_micros(from.u64()?),
-            came_up: Moment::from_micros(from.u64()?),
-            engine: text(from.short(ENGINE_BYTES)?)?,
+            signed_at: Moment::from_micros(from.u64()?),
+            started_at: Moment::from_micros(from.u64()?),
+            engine: text(from.length_prefixed(MAX_ENGINE_NAME_BYTES)?)?,
             condition: EngineCondition::from(from.u8()?)?,
-            reservation_type: Some(text(from.short(TYPE_BYTES)?)?).filter(|of| !of.is_empty()),
+            reservation_type: Some(text(from.length_prefixed(MAX_TYPE_NAME_BYTES)?)?)
+                .filter(|name| !name.is_empty()),
             confidence: from.u8()?,
             signature: from.array()?,
         };
@@ -283,34 +297,35 @@
     }
 
     pub fn is_signed_by(&self, key: &[u8; 32]) -> bool {
-        verify(key, Sealed::Observation, &self.body(), &self.signature)
+        verify(key, SignedKind::Observation, &self.body(), &self.signature)
     }
 }
 
-/// A voter's signed notice on one of a few subjects, which all tell on. What it says is not for gossip to know.
+/// A voter's signed notice about one of a few subjects, which all members relay. Its payload is opaque to
+/// gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
-    pub witness: MemberId,
+    pub voter: MemberId,
     pub subject: u8,
-    /// Grows with each notice of a witness on a subject.
+    /// Grows with each notice of a voter about a subject.
     pub number: u64,
-    pub says: Vec<u8>,
+    pub payload: Vec<u8>,
     signature: [u8; 64],
 }
 
 impl Notice {
-    pub fn issue(own: &Identity, subject: u8, number: u64, says: Vec<u8>) -> Self {
-        let mut new = Self { witness: own.id(), subject, number, says, signature: [0; 64] };
-        new.signature = own.secret.sign(Sealed::Notice, &new.body());
+    pub fn issue(identity: &Identity, subject: u8, number: u64, payload: Vec<u8>) -> Self {
+        let mut new = Self { voter: identity.id(), subject, number, payload, signature: [0; 64] };
+        new.signature = identity.secret.sign(SignedKind::Notice, &new.body());
         new
     }
 
     fn body(&self) -> Vec<u8> {
-        let mut out = Writer::with_room(self.says.len() + 17);
-        out.u64(self.witness.0);
+        let mut out = Writer::with_capacity(self.payload.len() + 17);
+        out.u64(self.voter.0);
         out.u8(self.subject);
         out.u64(self.number);
-        out.bytes(&self.says);
+        out.bytes(&self.payload);
         out.into_bytes()
     }
 
@@ -321,40 +336,40 @@
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let mut from = Reader::new(bytes);
         let signature = from.array()?;
-        let (witness, subject, number) = (MemberId(from.u64()?), from.u8()?, from.u64()?);
-        Some(Self { witness, subject, number, says: from.rest().to_vec(), signature })
+        let (voter, subject, number) = (MemberId(from.u64()?), from.u8()?, from.u64()?);
+        Some(Self { voter, subject, number, payload: from.rest().to_vec(), signature })
     }
 
     pub fn is_signed_by(&self, key: &[u8; 32]) -> bool {
-        verify(key, Sealed::Notice, &self.body(), &self.signature)
+        verify(key, SignedKind::Notice, &self.body(), &self.signature)
     }
 }
 
-/// A statement as it stands in a datagram.
+/// An item as decoded from a datagram.
 #[derive(Clone, Debug)]
 pub enum Item {
     MemberRecord(MemberRecord),
-    Accusation(Accusation),
+    FailureReport(FailureReport),
     Observation(Observation),
     Revocation(Revocation),
     VoterSet(VoterSet),
     Notice(Notice),
-    /// For the receiver alone, on the word of the datagram's sender.
+    /// A message for the receiver alone, covered only by the datagram's signature.
     Direct(Vec<u8>),
 }
 
-const PADDING: u8 = 0;
-/// What a statement's tag and length take.
+const PADDING_TAG: u8 = 0;
+/// Length of an item's tag and length fields, in bytes.
 pub const ITEM_HEAD_BYTES: usize = 3;
 
-/// A statement as it goes into a datagram.
+/// An item as encoded in a datagram.
 pub type TaggedItem = (ItemTag, Rc<[u8]>);
 
-/// The kinds of statement as they are tagged.
+/// The tags of the kinds of items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ItemTag {
     MemberRecord = 1,
-    Accusation = 2,
+    FailureReport = 2,
     Observation = 3,
     Revocation = 4,
     VoterSet = 5,
@@ -362,7 +377,7 @@
     Direct = 7,
 }
 
-/// A datagram's fields, its parts left where they lie.
+/// The decoded fields of a datagram. Its member record and items are borrowed and not decoded yet.
 pub struct Envelope<'a> {
     pub kind: DatagramKind,
     pub cluster: ClusterId,
@@ -370,25 +385,27 @@
     pub to: MemberId,
     pub sent: Moment,
     pub number: u64,
-    /// The mark of the datagram that this answers, or zero.
-    pub re: u64,
+    /// The id of the datagram that this one answers, or zero.
+    pub in_reply_to: u64,
+    /// The member that the datagram is about, or the id after which a pull or a page continues.
     pub about: MemberId,
-    /// How many living members the sender knows, and a digest of which.
-    pub living: u16,
-    pub digest: u64,
-    pub card: &'a [u8],
-    statements: &'a [u8],
+    /// The number of live members that the sender knows.
+    pub live_members: u16,
+    /// A digest of these members and their incarnations.
+    pub view_digest: u64,
+    pub record: &'a [u8],
+    items: &'a [u8],
     signed: &'a [u8],
     signature: [u8; 64],
 }
 
 impl<'a> Envelope<'a> {
-    /// Reads a datagram of such a cluster, signatures unchecked.
+    /// Decodes a datagram without checking its signatures.
     pub fn read(bytes: &'a [u8]) -> Option<Self> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
-        let signed = &bytes[..bytes.len().checked_sub(SIGNATURE)?];
+        let signed = &bytes[..bytes.len().checked_sub(SIGNATURE_BYTES)?];
         let signature = Reader::new(&bytes[signed.len()..]).array()?;
         let mut from = Reader::new(signed);
         if from.array()? != MAGIC {
@@ -397,11 +414,11 @@
         let kind = DatagramKind::from(from.u8()?)?;
         let (cluster, sender, to) = (ClusterId(from.u64()?), MemberId(from.u64()?), MemberId(from.u64()?));
         let (sent, number) = (Moment::from_micros(from.u64()?), from.u64()?);
-        let (re, about) = (from.u64()?, MemberId(from.u64()?));
-        let (living, digest) = (from.u16()?, from.u64()?);
+        let (in_reply_to, about) = (from.u64()?, MemberId(from.u64()?));
+        let (live_members, view_digest) = (from.u16()?, from.u64()?);
         let length = from.u16()?.into();
-        let card = from.take(length)?;
-        let statements = from.rest();
+        let record = from.take(length)?;
+        let items = from.rest();
         let read = Self {
             kind,
             cluster,
@@ -409,51 +426,52 @@
             to,
             sent,
             number,
-            re,
+            in_reply_to,
             about,
-            living,
-            digest,
-            card,
-            statements,
+            live_members,
+            view_digest,
+            record,
+            items,
             signed,
             signature,
         };
-        let whole = read.parts().all(|part| part.is_some());
-        whole.then_some(read)
+        let complete = read.raw_items().all(|item| item.is_some());
+        complete.then_some(read)
     }
 
-    /// What tells this datagram from all others: others can't foresee it, as it takes the sender's key.
-    pub fn mark(&self) -> u64 {
-        mark(&self.signature)
+    /// Returns an id that distinguishes this datagram from all others. Others can't predict it, as computing
+    /// it takes the sender's key.
+    pub fn datagram_id(&self) -> u64 {
+        datagram_id(&self.signature)
     }
 
     pub fn is_signed_by(&self, key: &[u8; 32]) -> bool {
-        verify(key, Sealed::Envelope, self.signed, &self.signature)
+        verify(key, SignedKind::Envelope, self.signed, &self.signature)
     }
 
-    fn parts(&self) -> impl Iterator<Item = Option<(u8, &'a [u8])>> {
-        let mut from = Reader::new(self.statements);
+    fn raw_items(&self) -> impl Iterator<Item = Option<(u8, &'a [u8])>> {
+        let mut from = Reader::new(self.items);
         std::iter::from_fn(move || {
             if from.is_empty() {
                 return None;
             }
-            let part = (|| {
+            let item = (|| {
                 let tag = from.u8()?;
                 let length = from.u16()?;
                 Some((tag, from.take(length.into())?))
             })();
-            if part.is_none() {
+            if item.is_none() {
                 from = Reader::new(&[]);
             }
-            Some(part)
+            Some(item)
         })
     }
 
-    /// The statements that can be read; others are passed over, as a newer version may have sent them.
+    /// Returns the items that can be decoded. Others are skipped, as a newer version may have sent them.
     pub fn items(&self) -> impl Iterator<Item = Item> {
-        self.parts().flatten().filter_map(|(tag, bytes)| match tag {
+        self.raw_items().flatten().filter_map(|(tag, bytes)| match tag {
             1 => MemberRecord::read(bytes).map(Item::MemberRecord),
-            2 => Accusation::read(bytes).map(Item::Accusation),
+            2 => FailureReport::read(bytes).map(Item::FailureReport),
             3 => Observation::read(bytes).map(Item::Observation),
             4 => {
                 let mut from = Reader::new(bytes);
@@ -467,42 +485,42 @@
     }
 }
 
-fn mark(signature: &[u8; 64]) -> u64 {
-    u64::from_be_bytes(std::array::from_fn(|place| signature[place]))
+fn datagram_id(signature: &[u8; 64]) -> u64 {
+    u64::from_be_bytes(std::array::from_fn(|index| signature[index]))
 }
 
-/// What a datagram takes besides its statements, with a card of that length.
-pub fn envelope_bytes(card: usize) -> usize {
-    MAGIC.len() + 1 + 7 * 8 + 2 + 8 + 2 + card + SIGNATURE
+/// Returns the length of a datagram without items, for a member record of the given length.
+pub fn envelope_bytes(record: usize) -> usize {
+    MAGIC.len() + 1 + 7 * 8 + 2 + 8 + 2 + record + SIGNATURE_BYTES
 }
 
-/// Puts a datagram together and signs it. `fill` is the length it is padded to. Gives its mark too.
+/// Encodes and signs a datagram, padded to `padded_length` bytes. Returns the bytes and the datagram's id.
 pub fn encode_signed(
-    own: &Identity, kind: DatagramKind, to: MemberId, sent: Moment, number: u64, re: u64, about: MemberId,
-    view: (u16, u64), card: &[u8], statements: &[TaggedItem], fill: usize,
+    identity: &Identity, kind: DatagramKind, to: MemberId, sent: Moment, number: u64, in_reply_to: u64,
+    about: MemberId, view: (u16, u64), record: &[u8], items: &[TaggedItem], padded_length: usize,
 ) -> (Vec<u8>, u64) {
-    let mut out = Writer::with_room(MAX_DATAGRAM_BYTES);
+    let mut out = Writer::with_capacity(MAX_DATAGRAM_BYTES);
     out.bytes(&MAGIC);
     out.u8(kind as u8);
-    for part in [own.pass.cluster.0, own.id().0, to.0, micros(sent), number, re, about.0] {
+    for part in [identity.pass.cluster.0, identity.id().0, to.0, micros(sent), number, in_reply_to, about.0] {
         out.u64(part);
     }
     out.u16(view.0);
     out.u64(view.1);
-    out.u16(card.len() as u16);
-    out.bytes(card);
-    for (tag, bytes) in statements {
+    out.u16(record.len() as u16);
+    out.bytes(record);
+    for (tag, bytes) in items {
         out.u8(*tag as u8);
         out.u16(bytes.len() as u16);
         out.bytes(bytes);
     }
-    let missing = fill.min(MAX_DATAGRAM_BYTES).saturating_sub(out.so_far().len() + SIGNATURE);
-    if missing >= ITEM_HEAD_BYTES {
-        out.u8(PADDING);
-        out.u16((missing - ITEM_HEAD_BYTES) as u16);
-        out.bytes(&vec![0; missing - ITEM_HEAD_BYTES]);
+    let padding = padded_length.min(MAX_DATAGRAM_BYTES).saturating_sub(out.written().len() + SIGNATURE_BYTES);
+    if padding >= ITEM_HEAD_BYTES {
+        out.u8(PADDING_TAG);
+        out.u16((padding - ITEM_HEAD_BYTES) as u16);
+        out.bytes(&vec![0; padding - ITEM_HEAD_BYTES]);
     }
-    let signature = own.secret.sign(Sealed::Envelope, out.so_far());
+    let signature = identity.secret.sign(SignedKind::Envelope, out.written());
     out.bytes(&signature);
-    (out.into_bytes(), mark(&signature))
+    (out.into_bytes(), datagram_id(&signature))
 }
--- a/crates/gossip/tests/decisions.rs
+++ b/crates/gossip/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Stories of routers that gossip, with the real decision module behind each: what hearsay does to jobs and engines.
+//! Tests gossip together with the decision module: what the reports of other routers do to jobs and engines.
 
 use proptest::prelude::*;
 use woadhook::{EngineStatus, Span};
@@ -6,12 +6,14 @@
 use woadhook_standins::cluster::secs;
 use woadhook_standins::world::{Fate, World};
 
-/// How long a well engine may stand idle for a liar's sake: four contradictions, each the time of a probe and a period.
-const IDLE_FOR_A_LIAR: Span = Span::from_micros(4 * (250_000 + 200_000));
+/// How long a healthy engine may stay idle because of a lying member: four contradictions, each of which
+/// takes the time of a probe and a period.
+const MAX_IDLE_FOR_FALSE_REPORTS: Span = Span::from_micros(4 * (250_000 + 200_000));
 
-/// Sends of the quiet router to an engine from a while after that went silent, and what became of that router's jobs.
-fn silent_engine(talks: bool, seed: u64) -> (usize, usize) {
-    let mut world = World::new(seed, 6, &[30.0, 30.0, 30.0, 3.0], talks);
+/// Returns how many jobs the router with little traffic sends to an engine in the 15 s from when it goes
+/// silent, and how many jobs of that router end throttled or cancelled.
+fn silent_engine(with_gossip: bool, seed: u64) -> (usize, usize) {
+    let mut world = World::new(seed, 6, &[30.0, 30.0, 30.0, 3.0], with_gossip);
     world.pass(secs(10.0));
     let at = world.now();
     world.turns(Span::ZERO, 2, Fate::Silent);
@@ -25,11 +27,11 @@
 fn a_router_with_little_traffic_learns_of_a_silent_engine_from_the_others() {
     let with: usize = (0..5).map(|seed| silent_engine(true, seed).0).sum();
     let without: usize = (0..5).map(|seed| silent_engine(false, seed).0).sum();
-    assert!(with < without, "{with} dispatches into the silence with gossip, {without} without");
+    assert!(with < without, "{with} dispatches to the silent engine with gossip, {without} without");
 }
 
 #[test]
-fn a_lone_liar_keeps_no_engine_idle_and_no_drain_is_broken() {
+fn a_lying_member_neither_idles_an_engine_nor_breaks_a_drain() {
     for flapping in [false, true] {
         let mut world = World::new(1, 6, &[25.0, 25.0, 25.0, 0.0], true);
         world.pass(secs(5.0));
@@ -40,16 +42,19 @@
         for turn in 0..30 {
             for engine in 0..6 {
                 let name = format!("s-{engine}");
-                let seen =
+                let condition =
                     if flapping && turn % 2 == 1 { EngineCondition::Well } else { EngineCondition::Silent };
-                world.cluster.at(3, |now, core| core.engine_judged(now, &name, seen));
+                world.cluster.at(3, |now, core| core.engine_judged(now, &name, condition));
             }
             world.pass(secs(0.7));
         }
         let to = world.now();
         for engine in 0..5 {
             let idle = world.idle(engine, from, to);
-            assert!(idle <= IDLE_FOR_A_LIAR, "engine {engine} stood idle for {idle:?}, flapping {flapping}");
+            assert!(
+                idle <= MAX_IDLE_FOR_FALSE_REPORTS,
+                "engine {engine} was idle for {idle:?}, flapping {flapping}"
+            );
         }
         assert_eq!(world.broken(), Vec::<String>::new());
         let [done, throttled, cancelled, _] = world.tally(0, from, to.back(1.0));
@@ -79,13 +84,13 @@
     }
     for engine in 0..6 {
         let idle = world.idle(engine, from, world.now());
-        assert!(idle <= IDLE_FOR_A_LIAR, "engine {engine} stood idle for {idle:?}");
+        assert!(idle <= MAX_IDLE_FOR_FALSE_REPORTS, "engine {engine} was idle for {idle:?}");
     }
     assert_eq!(world.broken(), Vec::<String>::new());
 }
 
 #[test]
-fn a_partition_with_a_drain_and_a_crash_on_either_side_breaks_nothing_and_heals() {
+fn a_partition_with_a_drain_and_a_crash_breaks_no_rule_and_heals() {
     for (small, seed) in [(20, 3), (1, 4)] {
         let mut world = World::new(seed, 8, &[2.5; 40], true);
         world.pass(secs(3.0));
@@ -94,7 +99,8 @@
             let place = world.cluster.nodes[39 - node].address;
             world.cluster.net.part(place, 1);
         }
-        // One side is told of a drain at once, the other when the partition heals; an engine crashes meanwhile.
+        // One side learns of a drain at once and the other when the partition heals. An engine crashes
+        // meanwhile.
         for router in 0..40 {
             let late = if router >= 40 - small { 8.0 } else { 1.0 };
             world.lists(secs(late), router, 7, EngineStatus::Draining);
@@ -107,7 +113,7 @@
         assert_eq!(world.broken(), Vec::<String>::new());
         for engine in 0..6 {
             let idle = world.idle(engine, from, world.now());
-            assert!(idle <= secs(1.5), "engine {engine} stood idle for {idle:?}");
+            assert!(idle <= secs(1.5), "engine {engine} was idle for {idle:?}");
         }
         let agreed = world.cluster.until(secs(20.0), |cluster| cluster.agree());
         assert!(agreed.is_some());
@@ -115,7 +121,7 @@
 }
 
 #[test]
-fn an_engine_that_comes_back_is_used_again_though_words_on_it_linger() {
+fn a_recovered_engine_is_used_again_despite_old_observations() {
     let mut world = World::new(5, 4, &[20.0, 20.0, 2.0], true);
     world.pass(secs(5.0));
     world.turns(Span::ZERO, 1, Fate::Dead);
@@ -130,19 +136,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The rules hold with any hearsay whatever.
+    /// The decision module breaks none of its rules, whatever other routers report.
     #[test]
-    fn no_hearsay_breaks_a_rule(
+    fn no_peer_report_breaks_a_rule(
         seed in 0_u64..1000,
-        whispers in proptest::collection::vec((0_usize..3, 0_usize..4, proptest::option::of(0_usize..2), -2.0_f64..3.0), 1..80),
+        reports in proptest::collection::vec((0_usize..3, 0_usize..4, proptest::option::of(0_usize..2), -2.0_f64..3.0), 1..80),
         dead in 0_usize..4, drained in 0_usize..4,
     ) {
         let mut world = World::new(seed, 4, &[15.0, 15.0, 3.0], false);
         world.turns(secs(1.0), dead, Fate::Silent);
         world.turns(secs(3.0), dead, Fate::Well);
         (0..3).for_each(|router| world.lists(secs(1.5), router, drained, EngineStatus::Draining));
-        for (router, engine, of, doubt) in whispers {
-            world.whisper(router, engine, of, doubt);
+        for (router, engine, reservation_type, suspicion) in reports {
+            world.whisper(router, engine, reservation_type, suspicion);
             world.pass(secs(0.05));
         }
         world.pass(secs(9.0));
@@ -150,7 +156,7 @@
     }
 }
 
-/// Moments count back in seconds here.
+/// Subtracts seconds from a moment.
 trait Back {
     fn back(self, secs: f64) -> Self;
 }
--- a/crates/gossip/tests/scenarios.rs
+++ b/crates/gossip/tests/scenarios.rs
@@ -1,14 +1,14 @@
-//! Stories of instances that gossip on the virtual network, one for each failure feared.
+//! Tests clusters of members on the virtual network. Each test guards against one kind of failure.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use woadhook::{Moment, Outcome, Span};
+use woadhook_gossip::item_queue::{ItemQueue, Topic};
 use woadhook_gossip::keys::{Identity, MemberId, Pass, SecretKey, TrustStore, VoterSet};
-use woadhook_gossip::members::{Lapse, Members};
-use woadhook_gossip::news::{About, News};
+use woadhook_gossip::members::{MemberTable, TimedChange};
 use woadhook_gossip::wire::{
-    Accusation, DatagramKind, ItemTag, MAX_DATAGRAM_BYTES, MemberRecord, Observation, PADDED_PING_BYTES,
+    DatagramKind, FailureReport, ItemTag, MAX_DATAGRAM_BYTES, MemberRecord, Observation, PADDED_PING_BYTES,
     encode_signed,
 };
 use woadhook_gossip::{Counters, EngineCondition, EventKind, Gossip};
@@ -16,7 +16,7 @@
 use woadhook_standins::net::Weather;
 
 const ENGINES: [&str; 3] = ["e-1", "e-2", "e-3"];
-const NOBODY: MemberId = MemberId(0);
+const NO_MEMBER: MemberId = MemberId(0);
 
 fn cluster(seed: u64, count: usize, weather: Weather) -> Cluster {
     let mut cluster = Cluster::new(seed, count, weather, usual_pace());
@@ -24,8 +24,8 @@
     cluster
 }
 
-/// One in which all know each other.
-fn settled(seed: u64, count: usize) -> Cluster {
+/// Returns a cluster in which all members know each other.
+fn converged(seed: u64, count: usize) -> Cluster {
     let mut cluster = cluster(seed, count, Weather::calm());
     cluster.acquaint();
     cluster.pass(secs(3.0));
@@ -33,12 +33,10 @@
     cluster
 }
 
-/// A datagram with such statements, signed by such an instance at its first incarnation.
-fn datagram(
-    own: &Identity, to: MemberId, now: Moment, number: u64, statements: &[(ItemTag, Vec<u8>)],
-) -> Vec<u8> {
-    let card = MemberRecord::issue(own, address(200), now.since(Moment::default()).micros() / 1000, false);
-    let statements: Vec<_> = statements.iter().map(|(tag, bytes)| (*tag, bytes.as_slice().into())).collect();
+/// Returns a datagram with these statements, signed by a member at its first incarnation.
+fn datagram(own: &Identity, to: MemberId, now: Moment, number: u64, items: &[(ItemTag, Vec<u8>)]) -> Vec<u8> {
+    let record = MemberRecord::issue(own, address(200), now.since(Moment::default()).micros() / 1000, false);
+    let items: Vec<_> = items.iter().map(|(tag, bytes)| (*tag, bytes.as_slice().into())).collect();
     encode_signed(
         own,
         DatagramKind::Ping,
@@ -46,18 +44,18 @@
         now,
         number,
         0,
-        NOBODY,
+        NO_MEMBER,
         (1, 0),
-        &card.bytes,
-        &statements,
+        &record.bytes,
+        &items,
         PADDED_PING_BYTES,
     )
     .0
 }
 
-fn dead(own: &Identity, now: Moment, number: u64, engine: &str) -> (ItemTag, Vec<u8>) {
+fn silent_observation(own: &Identity, now: Moment, number: u64, engine: &str) -> (ItemTag, Vec<u8>) {
     let incarnation = now.since(Moment::default()).micros() / 1000;
-    let word = Observation::issue(
+    let observation = Observation::issue(
         own,
         incarnation,
         number,
@@ -68,11 +66,11 @@
         None,
         255,
     );
-    (ItemTag::Observation, word.to_bytes())
+    (ItemTag::Observation, observation.to_bytes())
 }
 
 fn learned(counts: Counters) -> (u64, u64) {
-    (counts.words_taken, counts.signature_checks)
+    (counts.observations_accepted, counts.signature_checks)
 }
 
 #[test]
@@ -86,8 +84,8 @@
 }
 
 #[test]
-fn a_crashed_member_is_gone_and_its_restart_is_back_under_a_higher_incarnation() {
-    let mut cluster = settled(2, 10);
+fn a_crashed_member_is_gone_and_returns_with_a_higher_incarnation() {
+    let mut cluster = converged(2, 10);
     let before = cluster.core(4).own_record().incarnation;
     cluster.kill(4);
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
@@ -97,21 +95,21 @@
 }
 
 #[test]
-fn a_restart_with_a_clock_set_back_gets_above_its_old_incarnation() {
-    let mut cluster = settled(3, 6);
+fn a_restart_with_a_clock_set_back_exceeds_its_old_incarnation() {
+    let mut cluster = converged(3, 6);
     let before = cluster.core(5).own_record().incarnation;
     cluster.kill(5);
     cluster.pass(secs(1.0));
     cluster.nodes[5].clock = (secs(4.5), true);
     cluster.start(5);
-    assert!(cluster.core(5).own_record().incarnation < before, "the story is about a clock set back");
+    assert!(cluster.core(5).own_record().incarnation < before, "the clock must be set back");
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
     assert!(cluster.core(5).own_record().incarnation > before);
 }
 
 #[test]
 fn a_member_that_leaves_is_not_suspected_first() {
-    let mut cluster = settled(4, 10);
+    let mut cluster = converged(4, 10);
     cluster.told.clear();
     cluster.at(3, |now, core| core.leave(now));
     cluster.pass(secs(0.1));
@@ -125,8 +123,8 @@
 }
 
 #[test]
-fn a_word_on_an_engine_reaches_all_within_a_second() {
-    let mut cluster = settled(5, 40);
+fn an_observation_reaches_all_members_within_a_second() {
+    let mut cluster = converged(5, 40);
     cluster.at(7, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
     let all = |cluster: &Cluster| (0..40).all(|node| node == 7 || cluster.doubt(node, "e-2") > 0.4);
     assert!(cluster.until(secs(1.0), all).is_some());
@@ -136,98 +134,114 @@
 }
 
 #[test]
-fn refusing_and_failing_engines_are_told_of_by_type_and_no_longer_once_well() {
-    let mut cluster = settled(6, 5);
+fn refusing_and_failing_engines_are_reported_until_they_recover() {
+    let mut cluster = converged(6, 5);
     for _ in 0..4 {
         cluster.at(0, |now, core| core.dispatch_ended(now, "e-1", "load", Outcome::Error));
         cluster.at(0, |now, core| core.dispatch_ended(now, "e-3", "look", Outcome::TurnedAway));
     }
     cluster.pass(secs(1.0));
-    let heard = |cluster: &Cluster, of: &str| {
-        cluster.nodes[3].hearsay.get(&("e-1".to_owned(), Some(of.to_owned()))).copied().unwrap_or(0.0)
+    let suspicion = |cluster: &Cluster, reservation_type: &str| {
+        cluster.nodes[3]
+            .hearsay
+            .get(&("e-1".to_owned(), Some(reservation_type.to_owned())))
+            .copied()
+            .unwrap_or(0.0)
     };
-    assert!(heard(&cluster, "load") > 0.4);
-    assert_eq!(heard(&cluster, "look"), 0.0);
+    assert!(suspicion(&cluster, "load") > 0.4);
+    assert_eq!(suspicion(&cluster, "look"), 0.0);
     assert!(cluster.doubt(3, "e-3") > 0.4);
     for _ in 0..4 {
         cluster.at(0, |now, core| core.dispatch_ended(now, "e-1", "load", Outcome::Done));
         cluster.at(0, |now, core| core.dispatch_ended(now, "e-3", "look", Outcome::Done));
     }
     cluster.pass(secs(1.0));
-    assert_eq!((heard(&cluster, "load"), cluster.doubt(3, "e-3")), (0.0, 0.0));
+    assert_eq!((suspicion(&cluster, "load"), cluster.doubt(3, "e-3")), (0.0, 0.0));
 }
 
 #[test]
-fn a_forged_engine_dead_is_not_learned() {
-    let mut cluster = settled(7, 4);
+fn a_forged_observation_is_rejected() {
+    let mut cluster = converged(7, 4);
     let to = cluster.core(0).id();
     let now = cluster.now;
-    let stranger = {
-        // A key that some other operator admitted.
+    let other_operators_member = {
+        // The key was admitted by another operator.
         let (other, secret) = (secret(900), secret(901));
         let pass = Pass::issue(&other, "n1", secret.public(), tag(), START, START + secs(9e6)).unwrap();
-        let ring = TrustStore::new(tag(), vec![other.public()]);
-        Identity::new(secret, pass, &ring, now).unwrap()
+        let trust_store = TrustStore::new(tag(), vec![other.public()]);
+        Identity::new(secret, pass, &trust_store, now).unwrap()
     };
     let before = cluster.core(0).counters();
-    // Wrong operator.
-    let bytes = datagram(&stranger, to, now, 1, &[dead(&stranger, now, 1, "e-1")]);
+    // The pass is from the wrong operator.
+    let bytes = datagram(
+        &other_operators_member,
+        to,
+        now,
+        1,
+        &[silent_observation(&other_operators_member, now, 1, "e-1")],
+    );
     cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
-    // Its own pass, another's name on the word: signed by the stranger, told as of member 1.
+    // The pass is member 1's own, and the datagram is damaged below.
     let honest = identity(1, "n1", now);
-    let mut bytes = datagram(&honest, to, now, 1_000_000, &[dead(&honest, now, 99, "e-1")]);
-    // Bit flips at every byte.
+    let mut bytes = datagram(&honest, to, now, 1_000_000, &[silent_observation(&honest, now, 99, "e-1")]);
+    // One bit is flipped in each byte.
     for place in 0..bytes.len() {
         bytes[place] ^= 0x10;
         cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
         bytes[place] ^= 0x10;
     }
-    // No signature at all.
+    // The signature is zeroed.
     let length = bytes.len();
     bytes[length - 64..].fill(0);
     cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
     let after = cluster.core(0).counters();
-    assert_eq!(after.words_taken, before.words_taken);
+    assert_eq!(after.observations_accepted, before.observations_accepted);
     assert!(
         after.not_admitted > before.not_admitted
-            && after.forged > before.forged
+            && after.bad_signature > before.bad_signature
             && after.foreign > before.foreign
     );
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
 }
 
 #[test]
-fn yesterdays_words_and_repeats_are_refused() {
-    let mut cluster = settled(8, 3);
+fn old_and_replayed_observations_are_rejected() {
+    let mut cluster = converged(8, 3);
     let (to, now) = (cluster.core(0).id(), cluster.now);
     let honest = identity(1, "n1", now);
     let yesterday = Moment::from_micros(now.since(Moment::default()).saturating_sub(secs(86_400.0)).micros());
-    let old = datagram(&honest, to, yesterday, 1, &[dead(&honest, yesterday, 1, "e-1")]);
-    let fresh = datagram(&honest, to, now, 5, &[dead(&honest, now, 5, "e-2")]);
+    let old = datagram(&honest, to, yesterday, 1, &[silent_observation(&honest, yesterday, 1, "e-1")]);
+    let fresh = datagram(&honest, to, now, 5, &[silent_observation(&honest, now, 5, "e-2")]);
     let before = cluster.core(0).counters();
     cluster.at(0, |now, core| core.receive(now, address(1), &old));
     cluster.at(0, |now, core| core.receive(now, address(1), &fresh));
     let once = cluster.core(0).counters();
     cluster.at(0, |now, core| core.receive(now, address(1), &fresh));
     let twice = cluster.core(0).counters();
-    assert_eq!(once.untimely, before.untimely + 1);
-    assert_eq!(once.words_taken, before.words_taken + 1, "what is fresh is heard");
+    assert_eq!(once.bad_timestamp, before.bad_timestamp + 1);
+    assert_eq!(
+        once.observations_accepted,
+        before.observations_accepted + 1,
+        "a fresh observation is accepted"
+    );
     assert_eq!((twice.replayed, learned(twice)), (once.replayed + 1, learned(once)));
-    // Through another member, a word from yesterday or one told before says nothing either.
+    // An old or repeated observation is not accepted when another member relays it either.
     let carrier = identity(2, "n2", now);
-    let words = [dead(&honest, yesterday, 9, "e-3"), dead(&honest, now, 5, "e-2")];
-    let relayed = datagram(&carrier, to, now, 3, &words);
+    let observations =
+        [silent_observation(&honest, yesterday, 9, "e-3"), silent_observation(&honest, now, 5, "e-2")];
+    let relayed = datagram(&carrier, to, now, 3, &observations);
     cluster.at(0, |now, core| core.receive(now, address(2), &relayed));
-    assert_eq!(cluster.core(0).counters().words_taken, once.words_taken);
+    assert_eq!(cluster.core(0).counters().observations_accepted, once.observations_accepted);
     assert_eq!(cluster.doubt(0, "e-3"), 0.0);
 }
 
 #[test]
-fn a_datagram_meant_for_another_instance_or_cluster_is_refused() {
-    let mut cluster = settled(9, 3);
+fn a_datagram_for_another_member_or_cluster_is_rejected() {
+    let mut cluster = converged(9, 3);
     let now = cluster.now;
     let honest = identity(1, "n1", now);
-    let to_another = datagram(&honest, cluster.core(2).id(), now, 7, &[dead(&honest, now, 7, "e-1")]);
+    let to_another =
+        datagram(&honest, cluster.core(2).id(), now, 7, &[silent_observation(&honest, now, 7, "e-1")]);
     let before = cluster.core(0).counters();
     cluster.at(0, |now, core| core.receive(now, address(1), &to_another));
     let other = woadhook_gossip::keys::ClusterId::from_name("elsewhere");
@@ -235,17 +249,17 @@
     let pass = Pass::issue(&operator(), "n1", secret.public(), other, START, START + secs(9e6)).unwrap();
     let elsewhere =
         Identity::new(secret, pass, &TrustStore::new(other, vec![operator().public()]), now).unwrap();
-    let foreign = datagram(&elsewhere, NOBODY, now, 8, &[dead(&elsewhere, now, 8, "e-1")]);
+    let foreign = datagram(&elsewhere, NO_MEMBER, now, 8, &[silent_observation(&elsewhere, now, 8, "e-1")]);
     cluster.at(0, |now, core| core.receive(now, address(1), &foreign));
     let after = cluster.core(0).counters();
     assert_eq!((after.foreign, learned(after)), (before.foreign + 2, learned(before)));
 }
 
 #[test]
-fn a_revoked_key_is_out_at_all_once_one_instance_is_told() {
-    let mut cluster = settled(10, 8);
+fn a_revocation_known_to_one_member_removes_the_key_everywhere() {
+    let mut cluster = converged(10, 8);
     let now = cluster.now;
-    let list = ring_with(&[5], now);
+    let list = trust_store_with(&[5], now);
     let own = identity(0, "n0", now);
     cluster.at(0, |now, core| core.rekey(now, own, list));
     let out = |cluster: &Cluster| {
@@ -261,17 +275,17 @@
     assert!(cluster.core(2).counters().not_admitted > before.not_admitted);
 }
 
-fn ring_with(revoked: &[u64], now: Moment) -> TrustStore {
-    let mut ring = ring();
-    revoked.iter().for_each(|number| assert!(ring.revoke(&revocation(*number), now)));
-    ring
+fn trust_store_with(revoked: &[u64], now: Moment) -> TrustStore {
+    let mut trust_store = ring();
+    revoked.iter().for_each(|number| assert!(trust_store.revoke(&revocation(*number), now)));
+    trust_store
 }
 
 #[test]
-fn an_ended_pass_is_out_and_the_operators_key_can_be_changed_under_load() {
-    let mut cluster = settled(11, 4);
+fn expired_passes_are_rejected_and_the_operator_key_can_be_replaced() {
+    let mut cluster = converged(11, 4);
     let now = cluster.now;
-    // A second operator key, believed beside the first at all, then alone.
+    // A second operator key is first trusted by all beside the first one, and then signs the passes.
     let second = secret(77);
     let both = || TrustStore::new(tag(), vec![operator().public(), second.public()]);
     for node in 0..4 {
@@ -294,19 +308,19 @@
         cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
         cluster.pass(secs(1.0));
         let other = (node + 1) % 4;
-        assert!(cluster.doubt(other, "e-1") > 0.0, "words go on while keys change");
+        assert!(cluster.doubt(other, "e-1") > 0.0, "observations are accepted while keys change");
         cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Well));
         cluster.pass(secs(1.0));
     }
     assert!(cluster.until(secs(5.0), Cluster::agree).is_some());
     cluster.pass(secs(100.0));
-    assert_eq!(cluster.core(0).live_peers().count(), 0, "passes that have ended are believed by nobody");
+    assert_eq!(cluster.core(0).live_peers().count(), 0, "expired passes are not accepted");
     assert!(cluster.told.iter().any(|told| told.what == EventKind::PassEnding));
 }
 
 #[test]
-fn whom_a_lost_operator_key_admitted_is_out_with_that_key() {
-    let mut cluster = settled(32, 4);
+fn members_admitted_with_a_stolen_operator_key_are_removed_with_it() {
+    let mut cluster = converged(32, 4);
     let (now, stolen) = (cluster.now, secret(78));
     let both = || TrustStore::new(tag(), vec![operator().public(), stolen.public()]);
     cluster.at(0, |now, core| core.rekey(now, identity(0, "n0", now), both()));
@@ -317,16 +331,17 @@
     assert!(cluster.core(0).live_peers().any(|(name, ..)| name == "thief"));
     cluster.at(0, |now, core| core.rekey(now, identity(0, "n0", now), ring()));
     assert!(cluster.core(0).live_peers().all(|(name, ..)| name != "thief"));
-    // Through a member that still believes the stolen key, it is not heard either.
+    // An observation of the thief is not accepted through a member that still trusts the stolen key either.
     let carrier = identity(2, "n2", now);
-    let relayed = datagram(&carrier, cluster.core(0).id(), now, 9, &[dead(&thief, now, 5, "e-1")]);
+    let relayed =
+        datagram(&carrier, cluster.core(0).id(), now, 9, &[silent_observation(&thief, now, 5, "e-1")]);
     cluster.at(0, |now, core| core.receive(now, address(2), &relayed));
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
 }
 
 #[test]
-fn another_instance_at_the_address_of_one_that_died_takes_its_place() {
-    let mut cluster = settled(33, 6);
+fn a_new_member_replaces_a_crashed_one_at_the_same_address() {
+    let mut cluster = converged(33, 6);
     cluster.kill(4);
     let new = cluster.add(4);
     assert!(cluster.until(secs(15.0), Cluster::agree).is_some());
@@ -335,8 +350,8 @@
 }
 
 #[test]
-fn an_instance_that_changes_its_own_key_is_one_witness_and_one_member() {
-    let mut cluster = settled(12, 5);
+fn a_member_that_changes_its_key_counts_once() {
+    let mut cluster = converged(12, 5);
     cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(1.0));
     let once = cluster.doubt(0, "e-1");
@@ -348,40 +363,40 @@
     cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Well));
     cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Reset));
     cluster.pass(secs(1.0));
-    assert!(cluster.doubt(0, "e-1") <= once + 1e-9, "two keys of one name are one voice");
+    assert!(cluster.doubt(0, "e-1") <= once + 1e-9, "two keys with the same name count once");
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
 }
 
 #[test]
-fn a_lone_liar_is_not_heard_after_four_contradictions() {
-    let mut cluster = settled(13, 6);
+fn a_lying_member_is_ignored_after_four_contradictions() {
+    let mut cluster = converged(13, 6);
     let liar = cluster.core(5).id();
-    let mut lies = 0;
+    let mut accepted = 0;
     for turn in 0..40 {
         let seen = if turn % 2 == 0 { EngineCondition::Silent } else { EngineCondition::Well };
         cluster.at(5, |now, core| core.engine_judged(now, "e-1", seen));
         cluster.pass(secs(0.6));
         if cluster.doubt(0, "e-1") > 0.0 {
-            lies += 1;
-            // What a probe of the engine says.
+            accepted += 1;
+            // The own probe of the engine contradicts the lie.
             cluster.at(0, |now, core| core.probe_answered(now, "e-1"));
             assert_eq!(cluster.doubt(0, "e-1"), 0.0);
         }
     }
-    assert!((1..=5).contains(&lies), "{lies} lies were heard");
+    assert!((1..=5).contains(&accepted), "{accepted} false observations were accepted");
     assert!(cluster.core(0).credit(liar) < 0.2);
     assert!(cluster.told.iter().any(|told| told.what == EventKind::MemberDistrusted && told.node == 0));
-    // Others are heard as before.
+    // Other members' observations still count.
     cluster.at(4, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
     cluster.pass(secs(1.0));
     assert!(cluster.doubt(0, "e-2") > 0.4);
 }
 
 #[test]
-fn liars_who_name_members_dead_end_none() {
-    let mut cluster = settled(14, 20);
+fn false_failure_reports_remove_no_member() {
+    let mut cluster = converged(14, 20);
     cluster.told.clear();
-    // Three liars, as many as would do for a member that can't speak for itself.
+    // Three lying members would suffice against a member that can't refute.
     for turn in 0..30 {
         for liar in 17..20 {
             let now = cluster.now;
@@ -389,9 +404,9 @@
             let victim = turn % 17;
             let (subject, incarnation) =
                 (cluster.core(victim).id(), cluster.core(victim).own_record().incarnation);
-            let accusation = Accusation::issue(&own, subject, incarnation, now);
-            let (own_card, target) = (cluster.core(liar).own_record(), (victim + 1 + turn) % 17);
-            let statements = [(ItemTag::Accusation, accusation.to_bytes().into())];
+            let report = FailureReport::issue(&own, subject, incarnation, now);
+            let (own_record, target) = (cluster.core(liar).own_record(), (victim + 1 + turn) % 17);
+            let items = [(ItemTag::FailureReport, report.to_bytes().into())];
             let to = cluster.core(target).id();
             let number = 1_000_000 + turn as u64;
             let bytes = encode_signed(
@@ -401,10 +416,10 @@
                 now,
                 number,
                 0,
-                NOBODY,
+                NO_MEMBER,
                 (20, 0),
-                &own_card.bytes,
-                &statements,
+                &own_record.bytes,
+                &items,
                 0,
             )
             .0;
@@ -414,55 +429,60 @@
         cluster.pass(secs(0.5));
     }
     let gone = cluster.told.iter().filter(|told| told.what == EventKind::MemberGone).count();
-    let accused = cluster.told.iter().filter(|told| told.what == EventKind::SelfSuspected).count();
+    let self_suspected = cluster.told.iter().filter(|told| told.what == EventKind::SelfSuspected).count();
     assert_eq!(gone, 0);
-    assert!(accused > 0, "the lies were told");
+    assert!(self_suspected > 0, "the false reports arrived");
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
 }
 
 #[test]
-fn a_word_put_into_another_members_mouth_is_not_heard() {
-    let mut cluster = settled(30, 3);
+fn an_observation_in_the_name_of_another_member_is_rejected() {
+    let mut cluster = converged(30, 3);
     let now = cluster.now;
     let forger = identity(2, "n2", now);
-    let mut word =
+    let mut observation =
         Observation::issue(&forger, 1, 99, now, "e-1", Moment::default(), EngineCondition::Silent, None, 255);
-    word.reporter = cluster.core(1).id();
-    let bytes = datagram(&forger, cluster.core(0).id(), now, 9, &[(ItemTag::Observation, word.to_bytes())]);
+    observation.reporter = cluster.core(1).id();
+    let bytes =
+        datagram(&forger, cluster.core(0).id(), now, 9, &[(ItemTag::Observation, observation.to_bytes())]);
     let before = cluster.core(0).counters();
     cluster.at(0, |now, core| core.receive(now, address(2), &bytes));
     let after = cluster.core(0).counters();
-    assert_eq!((after.words_taken, after.forged), (before.words_taken, before.forged + 1));
+    assert_eq!(
+        (after.observations_accepted, after.bad_signature),
+        (before.observations_accepted, before.bad_signature + 1)
+    );
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
 }
 
 #[test]
-fn one_witness_under_two_keys_ends_nobody_and_three_do() {
+fn reporters_with_the_same_name_count_once() {
     let now = START + secs(60.0);
-    let card = |number: u64, name: &str| {
+    let record = |number: u64, name: &str| {
         Rc::new(MemberRecord::issue(&identity(number, name, now), address(1), 5, false))
     };
-    let accused = |witnesses: &[(u64, &str)]| {
-        let mut members = Members::new(NOBODY, 20);
-        let subject = card(1, "subject");
-        members.take(now, subject.clone());
-        for (number, name) in witnesses {
-            members.take(now, card(*number, name));
+    let is_gone = |reporters: &[(u64, &str)]| {
+        let mut members = MemberTable::new(NO_MEMBER, 20);
+        let subject = record(1, "subject");
+        members.apply_record(now, subject.clone());
+        for (number, name) in reporters {
+            members.apply_record(now, record(*number, name));
             let own = identity(*number, name, now);
-            members.accused(now, &Accusation::issue(&own, subject.id, subject.incarnation, now));
+            members
+                .apply_failure_report(now, &FailureReport::issue(&own, subject.id, subject.incarnation, now));
         }
         let later = now + secs(3.0);
-        let lapses = members.lapse(later, secs(2.0), secs(600.0), secs(5.0));
-        lapses.iter().any(|(id, lapse, _)| *id == subject.id && *lapse == Lapse::Gone)
+        let changes = members.apply_timeouts(later, secs(2.0), secs(600.0), secs(5.0));
+        changes.iter().any(|(id, change, _)| *id == subject.id && *change == TimedChange::Gone)
     };
-    assert!(!accused(&[(2, "a")]));
-    assert!(!accused(&[(2, "a"), (3, "a"), (4, "a"), (5, "b")]));
-    assert!(accused(&[(2, "a"), (3, "b"), (4, "c")]));
+    assert!(!is_gone(&[(2, "a")]));
+    assert!(!is_gone(&[(2, "a"), (3, "a"), (4, "a"), (5, "b")]));
+    assert!(is_gone(&[(2, "a"), (3, "b"), (4, "c")]));
 }
 
 #[test]
-fn halves_find_each_other_again_though_every_seed_is_gone() {
-    let mut cluster = settled(31, 12);
+fn a_partition_heals_without_any_seed() {
+    let mut cluster = converged(31, 12);
     (0..3).for_each(|seed| cluster.kill(seed));
     assert!(cluster.until(secs(10.0), Cluster::agree).is_some());
     for node in 3..7 {
@@ -477,28 +497,29 @@
 }
 
 #[test]
-fn words_are_not_held_up_by_ever_new_cards() {
-    let mut news = News::default();
-    news.add(About::Observation(MemberId(1), "e-1".to_owned(), None), vec![0; 200].into());
-    let mut told = 0;
+fn observations_are_not_delayed_by_new_member_records() {
+    let mut queue = ItemQueue::default();
+    queue.add(Topic::Observation(MemberId(1), "e-1".to_owned(), None), vec![0; 200].into());
+    let mut sends = 0;
     for round in 0..12 {
         for number in 0..4 {
-            news.add(About::MemberRecord(MemberId(100 + round * 4 + number)), vec![0; 220].into());
+            queue.add(Topic::MemberRecord(MemberId(100 + round * 4 + number)), vec![0; 220].into());
         }
-        told += news.take(NOBODY, 850, 20).iter().filter(|(tag, _)| *tag == ItemTag::Observation).count();
+        sends +=
+            queue.take(NO_MEMBER, 850, 20).iter().filter(|(tag, _)| *tag == ItemTag::Observation).count();
     }
-    assert!(told >= 4, "{told} times in a dozen datagrams");
+    assert!(sends >= 4, "{sends} times in a dozen datagrams");
 }
 
 #[test]
-fn a_laggards_words_are_half_faded_and_its_flapping_harms_none() {
-    let mut cluster = settled(15, 6);
+fn late_observations_count_at_most_half_and_a_slow_member_removes_none() {
+    let mut cluster = converged(15, 6);
     let slow = cluster.nodes[5].address;
     cluster.net.lag(slow, secs(10.0));
     cluster.at(5, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(12.0));
     let late = cluster.doubt(0, "e-1");
-    assert!(late < 0.3, "ten seconds late, a word counts half of a fresh one at most: {late}");
+    assert!(late < 0.3, "an observation ten seconds late counts at most half of a fresh one: {late}");
     cluster.pass(secs(20.0));
     let others = |cluster: &Cluster| {
         let knows =
@@ -509,7 +530,7 @@
 }
 
 #[test]
-fn clocks_off_by_five_seconds_are_borne() {
+fn clocks_that_differ_by_five_seconds_are_tolerated() {
     for (seed, behind) in [(16, false), (27, true)] {
         let mut cluster = cluster(seed, 8, Weather::calm());
         cluster.kill(2);
@@ -520,8 +541,8 @@
         for node in [2, 4] {
             cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
             cluster.pass(secs(1.0));
-            let heard = |other: usize| other == node || cluster.doubt(other, "e-1") > 0.2;
-            assert!((0..8).all(heard), "what {node} says");
+            let is_suspicious = |other: usize| other == node || cluster.doubt(other, "e-1") > 0.2;
+            assert!((0..8).all(is_suspicious), "observations of {node}");
             cluster.at(node, |now, core| core.engine_judged(now, "e-1", EngineCondition::Well));
             cluster.pass(secs(2.0));
             assert!((0..8).all(|other| cluster.doubt(other, "e-1") == 0.0));
@@ -530,8 +551,8 @@
 }
 
 #[test]
-fn a_hundred_join_at_once() {
-    let mut cluster = settled(17, 20);
+fn a_hundred_members_join_at_once() {
+    let mut cluster = converged(17, 20);
     for number in 20..120 {
         cluster.add(number);
     }
@@ -547,9 +568,9 @@
 }
 
 #[test]
-fn halves_of_a_partition_find_each_other_again() {
+fn a_partition_heals() {
     for (small, seed) in [(20, 18), (1, 19)] {
-        let mut cluster = settled(seed, 40);
+        let mut cluster = converged(seed, 40);
         for node in 0..small {
             let place = cluster.nodes[39 - node].address;
             cluster.net.part(place, 1);
@@ -571,8 +592,8 @@
 }
 
 #[test]
-fn a_third_of_all_lost_with_repeats_and_reordering_ends_no_one_for_long() {
-    let mut cluster = settled(20, 20);
+fn members_recover_from_loss_duplication_and_reordering() {
+    let mut cluster = converged(20, 20);
     cluster.net.weather = Weather::rough();
     cluster.told.clear();
     cluster.pass(secs(20.0));
@@ -580,7 +601,7 @@
     let all = |cluster: &Cluster| (0..20).all(|node| node == 3 || cluster.doubt(node, "e-1") > 0.2);
     assert!(
         cluster.until(secs(4.0), all).is_some(),
-        "words get through: {:?}",
+        "observations get through: {:?}",
         (0..20).map(|node| cluster.doubt(node, "e-1")).collect::<Vec<_>>()
     );
     cluster.net.weather = Weather::calm();
@@ -590,17 +611,17 @@
 }
 
 #[test]
-fn an_answer_to_an_unproven_address_is_no_larger_than_what_came() {
-    let mut cluster = settled(21, 30);
+fn an_answer_to_an_unverified_address_is_no_larger_than_the_request() {
+    let mut cluster = converged(21, 30);
     let now = cluster.now;
-    // A member's own words, sent again from an address that is not its own.
+    // A member's own datagram is sent again from an address that is not its own.
     let own = identity(29, "n29", now);
     let to = cluster.core(0).id();
     for (number, kind) in
         [DatagramKind::Ping, DatagramKind::Pull, DatagramKind::PingRequest].into_iter().enumerate()
     {
-        let card = MemberRecord::issue(&own, address(29), cluster.core(29).own_record().incarnation, false);
-        let about = if kind == DatagramKind::PingRequest { cluster.core(3).id() } else { NOBODY };
+        let record = MemberRecord::issue(&own, address(29), cluster.core(29).own_record().incarnation, false);
+        let about = if kind == DatagramKind::PingRequest { cluster.core(3).id() } else { NO_MEMBER };
         let bytes = encode_signed(
             &own,
             kind,
@@ -610,7 +631,7 @@
             0,
             about,
             (1, 0),
-            &card.bytes,
+            &record.bytes,
             &[],
             600,
         )
@@ -618,31 +639,35 @@
         let before = cluster.core(0).counters();
         cluster.at(0, |now, core| core.receive(now, address(250), &bytes));
         let after = cluster.core(0).counters();
-        assert!(after.signature_checks > before.signature_checks, "it was taken for the member's");
+        assert!(
+            after.signature_checks > before.signature_checks,
+            "the datagram was accepted as the member's"
+        );
         let answered = after.sent_bytes - before.sent_bytes;
         assert!(answered <= bytes.len() as u64, "{answered} bytes to {kind:?} of {}", bytes.len());
     }
 }
 
 #[test]
-fn spoofed_joins_neither_fill_the_table_nor_make_the_seed_talk() {
-    let mut cluster = settled(22, 5);
+fn spoofed_joins_neither_fill_the_table_nor_cause_a_flood_of_answers() {
+    let mut cluster = converged(22, 5);
     let now = cluster.now;
     let before = cluster.core(0).counters();
-    // One valid pass, joined under a thousand addresses.
+    // One valid pass joins under a thousand addresses.
     let own = identity(800, "n800", now);
     for number in 0..1000 {
-        let card = MemberRecord::issue(&own, address(300 + number), 1_780_000_000_000 + number as u64, false);
+        let record =
+            MemberRecord::issue(&own, address(300 + number), 1_780_000_000_000 + number as u64, false);
         let bytes = encode_signed(
             &own,
             DatagramKind::Ping,
-            NOBODY,
+            NO_MEMBER,
             now,
             1,
             0,
-            NOBODY,
+            NO_MEMBER,
             (1, 0),
-            &card.bytes,
+            &record.bytes,
             &[],
             PADDED_PING_BYTES,
         )
@@ -651,9 +676,9 @@
     }
     let after = cluster.core(0).counters();
     assert!(cluster.core(0).live_members() <= 6, "one key is one member");
-    assert!(after.over_budget > before.over_budget, "the budget of strangers binds");
+    assert!(after.checks_over_budget > before.checks_over_budget, "the budget of unknown senders is used up");
     assert!(after.sent - before.sent < 100);
-    // Known members are heard all the while.
+    // Observations of known members are accepted all the while.
     cluster.at(3, |now, core| core.engine_judged(now, "e-1", EngineCondition::Silent));
     cluster.pass(secs(1.0));
     assert!(cluster.doubt(0, "e-1") > 0.4);
@@ -661,7 +686,7 @@
 
 #[test]
 fn a_flood_of_garbage_costs_no_signature_checks() {
-    let mut cluster = settled(23, 3);
+    let mut cluster = converged(23, 3);
     let before = cluster.core(0).counters();
     let mut seen = BTreeSet::new();
     for number in 0..20_000_u32 {
@@ -679,22 +704,23 @@
 }
 
 #[test]
-fn a_record_from_far_ahead_does_not_end_a_name_for_good() {
-    let mut cluster = settled(24, 4);
+fn a_record_from_the_far_future_does_not_block_its_member() {
+    let mut cluster = converged(24, 4);
     let now = cluster.now;
     let stolen = identity(2, "n2", now);
     let far = now + Span::from_secs(1e7);
-    let card = MemberRecord::issue(&stolen, address(2), far.since(Moment::default()).micros() / 1000, false);
+    let record =
+        MemberRecord::issue(&stolen, address(2), far.since(Moment::default()).micros() / 1000, false);
     let bytes = encode_signed(
         &stolen,
         DatagramKind::Ping,
-        NOBODY,
+        NO_MEMBER,
         now,
         1,
         0,
-        NOBODY,
+        NO_MEMBER,
         (1, 0),
-        &card.bytes,
+        &record.bytes,
         &[],
         PADDED_PING_BYTES,
     )
@@ -706,8 +732,8 @@
 }
 
 #[test]
-fn a_late_word_on_an_engines_earlier_start_says_nothing_of_its_new_one() {
-    let mut cluster = settled(25, 3);
+fn a_late_observation_about_an_earlier_start_is_rejected() {
+    let mut cluster = converged(25, 3);
     let up = cluster.now;
     let list = vec![("e-1".to_owned(), up)];
     cluster.at(0, |_, core| core.set_engines(&list));
@@ -716,11 +742,11 @@
     cluster.at(1, |now, core| core.engine_judged(now, "e-1", EngineCondition::Reset));
     cluster.pass(secs(1.0));
     assert_eq!(cluster.doubt(0, "e-1"), 0.0);
-    assert!(cluster.core(0).counters().words_refused > 0);
+    assert!(cluster.core(0).counters().observations_rejected > 0);
 }
 
 #[test]
-fn memory_holds_the_members_that_are_allowed_and_no_more() {
+fn the_member_table_keeps_its_limit() {
     let pace = woadhook_gossip::GossipConfig { max_members: 8, ..usual_pace() };
     let mut cluster = Cluster::new(26, 14, Weather::calm(), pace);
     cluster.pass(secs(10.0));
@@ -729,7 +755,7 @@
 }
 
 #[test]
-fn a_secret_file_reads_back_and_is_checked() {
+fn key_and_pass_files_read_back_and_are_checked() {
     let secret = secret(3);
     let again = SecretKey::from_text(&secret.to_text()).unwrap();
     assert_eq!(again.public(), secret.public());
@@ -739,8 +765,9 @@
     let pass = Pass::issue(&operator(), "n", again.public(), tag(), now, now + secs(9.0)).unwrap();
     assert_eq!(Pass::from_text(&pass.to_text()).unwrap(), pass);
     assert!(Pass::issue(&operator(), "a b", again.public(), tag(), now, now + secs(9.0)).is_err());
-    let wrong =
-        |secret: SecretKey, ring: TrustStore, at| Identity::new(secret, pass.clone(), &ring, at).err();
+    let wrong = |secret: SecretKey, trust_store: TrustStore, at| {
+        Identity::new(secret, pass.clone(), &trust_store, at).err()
+    };
     assert!(wrong(self::secret(4), ring(), now).unwrap().contains("another key"));
     assert!(wrong(self::secret(3), TrustStore::new(tag(), vec![]), now).unwrap().contains("not signed"));
     assert!(wrong(self::secret(3), ring(), now + secs(10.0)).unwrap().contains("ended"));
@@ -748,22 +775,23 @@
 }
 
 #[test]
-fn all_hear_the_operators_order_and_the_named_voters_notices_and_nobody_elses() {
+fn only_the_operators_voter_set_and_its_voters_notices_are_accepted() {
     let mut cluster = Cluster::new(21, 6, Weather::calm(), usual_pace());
     cluster.acquaint();
-    let order = |by: &SecretKey, epoch, voters: &[u64]| {
+    let voter_set = |by: &SecretKey, epoch, voters: &[u64]| {
         let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret(*voter).public()).collect();
         VoterSet::issue(by, tag(), epoch, &keys).unwrap()
     };
-    assert!(cluster.at(4, |_, core| core.accept_voter_set(order(&operator(), 1, &[0, 1]))));
+    assert!(cluster.at(4, |_, core| core.accept_voter_set(voter_set(&operator(), 1, &[0, 1]))));
     cluster.pass(secs(3.0));
     assert_eq!((0..6).filter(|node| cluster.orders.contains(&(*node, 1))).count(), 6);
-    // One that believes another operator too spreads that one's order, and believes it is heard.
+    // A member that trusts another operator too accepts and spreads that operator's voter set.
     let both = TrustStore::new(tag(), vec![operator().public(), secret(5).public()]);
     let own = identity(5, "n5", cluster.now);
     cluster.at(5, |now, core| core.rekey(now, own, both));
-    assert!(cluster.at(5, |_, core| core.accept_voter_set(order(&secret(5), 9, &[5]))));
-    // A voter's notice, a stranger's, and a voter's from an hour ahead.
+    assert!(cluster.at(5, |_, core| core.accept_voter_set(voter_set(&secret(5), 9, &[5]))));
+    // A voter's notice, a notice of a member that is no voter, and a voter's notice from an hour ahead
+    // follow.
     cluster.at(1, |now, core| core.broadcast_notice(now, 0, b"one".to_vec()));
     cluster.at(3, |now, core| core.broadcast_notice(now, 0, b"stranger".to_vec()));
     cluster.pass(secs(3.0));
@@ -772,8 +800,10 @@
     cluster.at(1, |now, core| core.broadcast_notice(now, 0, b"two".to_vec()));
     cluster.pass(secs(3.0));
     assert!(cluster.orders.iter().all(|(node, epoch)| *epoch == 1 || *node == 5), "{:?}", cluster.orders);
-    let heard = |says: &[u8]| cluster.notices.iter().filter(|(.., heard)| heard == says).count();
-    assert_eq!((heard(b"stranger"), heard(b"ahead")), (0, 0));
-    // By the four that hold the operator's order, and are not its witness: each once.
-    assert_eq!((heard(b"one"), heard(b"two")), (4, 4));
+    let received =
+        |payload: &[u8]| cluster.notices.iter().filter(|(.., received)| received == payload).count();
+    assert_eq!((received(b"stranger"), received(b"ahead")), (0, 0));
+    // The notices arrive once each at the four members that hold the operator's voter set and did not send
+    // them.
+    assert_eq!((received(b"one"), received(b"two")), (4, 4));
 }
