--- a/crates/gossip/src/budget.rs
+++ b/crates/gossip/src/budget.rs
@@ -2,6 +2,7 @@
 
 use woadhook::{Moment, Span};
 
+/// A token bucket that refills at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens_per_s: f64,
--- a/crates/gossip/src/bytes.rs
+++ b/crates/gossip/src/bytes.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// Appends big-endian fields to a buffer.
 #[derive(Default)]
 pub struct Writer(Vec<u8>);
 
@@ -75,6 +76,7 @@
         self.bytes(&value.to_be_bytes());
     }
 
+    /// Writes bytes prefixed by their length in one byte, so at most 255 bytes.
     pub fn length_prefixed(&mut self, bytes: &[u8]) {
         self.u8(bytes.len() as u8);
         self.bytes(bytes);
--- a/crates/gossip/src/engine_events.rs
+++ b/crates/gossip/src/engine_events.rs
@@ -63,6 +63,7 @@
         self.push_peer_report(now, engine, reservation_type.map(str::to_owned));
     }
 
+    /// Raises or lowers a member's credit after own experience confirmed or contradicted its observation.
     pub(crate) fn update_credit(&mut self, reporter: MemberId, engine: &str, confirmed: bool) {
         let Some(member) = self.members.get_mut(reporter) else { return };
         let before = member.credit();
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -178,6 +178,7 @@
     pub(crate) sent: Moment,
 }
 
+/// The core of one instance: its keys, its member table and what it knows about engines from others.
 pub struct Gossip {
     pub(crate) identity: Identity,
     pub(crate) trust_store: TrustStore,
@@ -334,6 +335,7 @@
         self.actions.push_back(Action::Event { kind, member, engine: engine.map(str::to_owned), condition });
     }
 
+    /// Reports to the host the suspicion that other members now raise about an engine.
     pub(crate) fn push_peer_report(&mut self, now: Moment, engine: &str, reservation_type: Option<String>) {
         let suspicion = self.observations.suspicion(now, engine, reservation_type.as_deref(), &self.members);
         self.actions.push_back(Action::PeerReport { engine: engine.to_owned(), reservation_type, suspicion });
@@ -358,6 +360,7 @@
         )
     }
 
+    /// Sends one datagram as [`send`](Self::send) does, of at most `max_bytes` bytes.
     pub(crate) fn send_limited(
         &mut self, now: Moment, kind: DatagramKind, to: MemberId, address: SocketAddr, in_reply_to: u64,
         about: MemberId, mut items: Vec<TaggedItem>, padded_length: usize, max_bytes: usize,
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -324,6 +324,8 @@
 }
 
 impl VoterSet {
+    /// Signs a voter set. Returns an error unless it has 1 to [`MAX_VOTERS`] voters and an epoch of at least
+    /// 1.
     pub fn issue(
         operator: &SecretKey, cluster: ClusterId, epoch: u64, voters: &[[u8; 32]],
     ) -> Result<Self, String> {
@@ -407,10 +409,12 @@
             && self.operator_keys.iter().any(|key| MemberId::of_key(key) == pass.signer)
     }
 
+    /// Returns whether an operator key signed the pass.
     pub fn verifies_pass(&self, pass: &Pass) -> bool {
         self.is_signed_by_operator(pass.signer, SignedKind::Pass, &pass.body(), &pass.signature)
     }
 
+    /// Returns whether an operator key signed the voter set for this cluster.
     pub fn verifies_voter_set(&self, voter_set: &VoterSet) -> bool {
         voter_set.cluster == self.cluster
             && self.is_signed_by_operator(
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// The state of a member as this instance sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
     Alive,
@@ -69,6 +70,7 @@
     },
 }
 
+/// A known member, with its latest record and its state.
 pub struct Member {
     pub record: Rc<MemberRecord>,
     pub state: State,
@@ -102,6 +104,7 @@
         }
     }
 
+    /// Returns whether the member counts as running, which a suspect still does.
     pub fn is_live(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect { .. })
     }
@@ -169,6 +172,7 @@
     PassEnded,
 }
 
+/// The other members that this instance knows.
 pub struct MemberTable {
     own_id: MemberId,
     /// At most `capacity` members. Gone and left ones are removed when their time to be forgotten comes, or
@@ -219,6 +223,7 @@
         self.peer_digest ^ digest_part(self.own_id, own_incarnation)
     }
 
+    /// Changes a member's state and updates the counts and the digest.
     fn set_state(&mut self, id: MemberId, state: State) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let is_suspect = |member: &Member| usize::from(matches!(member.state, State::Suspect { .. }));
@@ -279,6 +284,8 @@
         }
     }
 
+    /// Removes the member that has been gone or has left for the longest time. Returns false if there is
+    /// none.
     fn evict_oldest(&mut self) -> bool {
         let since = |member: &Member| match member.state {
             State::Gone { since } | State::Left { since } => Some(since),
@@ -421,6 +428,7 @@
         after.filter(|(_, member)| member.is_live()).map(|(_, member)| &member.record)
     }
 
+    /// Raises the credit of all members by `step`.
     pub fn raise_credits(&mut self, step: f64) {
         self.members.values_mut().for_each(|member| member.raise_credit(step));
     }
--- a/crates/gossip/src/observations.rs
+++ b/crates/gossip/src/observations.rs
@@ -57,6 +57,7 @@
     EnoughReporters,
 }
 
+/// The observations received from other members, by engine.
 pub struct ObservationTable {
     /// An entry for each engine on the list.
     engines: BTreeMap<String, EngineObservations>,
--- a/crates/gossip/src/own_observations.rs
+++ b/crates/gossip/src/own_observations.rs
@@ -68,6 +68,7 @@
     pub confidence: u8,
 }
 
+/// The own experience with engines and the claims reported from it.
 #[derive(Default)]
 pub struct OwnObservations {
     engines: BTreeMap<String, EngineHistory>,
--- a/crates/gossip/src/periodic.rs
+++ b/crates/gossip/src/periodic.rs
@@ -45,6 +45,8 @@
         helper_deadlines.chain(pull).chain([self.next_period]).min()
     }
 
+    /// Returns the next action for the host, or `None` until the deadline
+    /// [`next_deadline`](Self::next_deadline) or the next input.
     pub fn next_action(&mut self, now: Moment) -> Option<Action> {
         if !self.has_left {
             self.advance(now);
@@ -52,6 +54,7 @@
         self.actions.pop_front()
     }
 
+    /// Does what is due by `now`: requests for helper pings, pulls and the work of each period.
     pub(crate) fn advance(&mut self, now: Moment) {
         let half = self.config.period.mul_f64(0.5);
         let is_late = |probe: &&mut Probe| !probe.helpers_asked && now.since(probe.sent) >= half;
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Does the work of one period: reports unanswered probes and sends new ones, searches and pulls.
     pub(crate) fn run_period(&mut self, now: Moment) {
         let unanswered: Vec<Probe> =
             self.probes.extract_if(.., |probe| now.since(probe.sent) >= self.config.period).collect();
@@ -113,6 +117,7 @@
         }
     }
 
+    /// Applies timeouts to members, and removes expired observations and revocations.
     pub(crate) fn sweep(&mut self, now: Moment) {
         let suspicion_timeout =
             self.config.period.mul_f64(SUSPICION_PERIODS + (self.members.live_count() as f64 + 1.0).log2());
@@ -145,6 +150,7 @@
         }
     }
 
+    /// Returns the next live member of a random order in which each is probed once.
     pub(crate) fn next_probe_target(&mut self) -> Option<MemberId> {
         if self.probe_order.is_empty() {
             self.probe_order = self.members.live().map(|(id, _)| id).collect();
@@ -178,6 +184,7 @@
         }
     }
 
+    /// Asks some other members to ping a member that did not answer in time.
     pub(crate) fn request_helper_pings(&mut self, now: Moment, target: MemberId, datagram_id: u64) {
         let peers: Vec<_> = self
             .members
@@ -228,6 +235,7 @@
         }
     }
 
+    /// Requests the next page of member records from a random member.
     pub(crate) fn send_pull(&mut self, now: Moment) {
         let peers: Vec<_> = self
             .members
--- a/crates/gossip/src/receive.rs
+++ b/crates/gossip/src/receive.rs
@@ -127,6 +127,7 @@
         );
     }
 
+    /// Answers a datagram according to its kind, and notes which of the own pings it answers.
     pub(crate) fn respond(
         &mut self, now: Moment, from: SocketAddr, record: &MemberRecord, envelope: &Envelope<'_>,
         length: usize, was_gone: bool,
@@ -282,6 +283,7 @@
         (records, NO_MEMBER)
     }
 
+    /// Compares the view that the sender reports with the own one.
     pub(crate) fn compare_views(&mut self, envelope: &Envelope<'_>) {
         if !matches!(envelope.kind, DatagramKind::Ack | DatagramKind::Page) {
             return;
