--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operator file: what an installation sets beside the platform's configuration.
+//! The operator file: the settings of an installation beside the platform's configuration.
 //!
-//! It is a Jsonnet template. [`template`] evaluates it, [`subprocess`] does so in a process of its own with limits on
-//! time and memory, [`table`] holds a line for each field that may stand there, and [`operator_file`] checks what
-//! came out against that table and hands it to the parts of the program, section by section.
+//! The file is a Jsonnet template. [`template`] evaluates it, [`subprocess`] does so in a child process with
+//! limits on time and memory, [`table`] has an entry for each allowed field, and [`operator_file`] checks the
+//! result against that table and gives each part of the program its section.
 
 pub mod operator_file;
 pub mod page;
--- a/crates/operator/src/operator_file.rs
+++ b/crates/operator/src/operator_file.rs
@@ -1,4 +1,4 @@
-//! Checks what a template stands for against the table of fields, and hands it out by section.
+//! Checks an evaluated operator file against the table of fields, and gives access to its values by section.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,89 +13,94 @@
 /// A checked operator file.
 #[derive(Clone, Debug)]
 pub struct OperatorFile {
-    /// By path; holds each field of the sections that are given, defaults filled in.
+    /// The values by field path: those that are given, and defaults for the other fields of the sections.
     values: BTreeMap<&'static str, Value>,
     folder: PathBuf,
 }
 
-/// The fields of one section. Getters give the type that the table states, or its zero where the field is not set.
+/// The fields of one section. Each getter returns the type that the table states, or an empty value or zero
+/// if the field is not set.
 #[derive(Clone, Copy, Debug)]
 pub struct Section<'a> {
-    sheet: &'a OperatorFile,
+    file: &'a OperatorFile,
     name: &'a str,
 }
 
 impl Default for OperatorFile {
-    /// As an empty file: sections whose fields all have defaults.
+    /// The values of an empty file: the sections whose fields all have defaults.
     fn default() -> Self {
-        let mut sheet = Self { values: BTreeMap::new(), folder: PathBuf::from(".") };
-        sheet.fill_in(&Map::new());
-        sheet
+        let mut file = Self { values: BTreeMap::new(), folder: PathBuf::from(".") };
+        file.add_default_sections(&Map::new());
+        file
     }
 }
 
 impl OperatorFile {
-    /// Evaluates a template in a process of its own, which `program` (woadhook itself) is started for, and
-    /// checks the result.
+    /// Evaluates a template in a child process that runs `program` (woadhook itself), and checks the result.
     pub fn load(program: &Path, path: &Path) -> Result<Self, String> {
         let json = subprocess::evaluate(program, path)?;
         Self::parse(&json, path)
     }
 
-    /// Checks what a template stands for. All faults are told, a line each: file, path of the field, what is
-    /// given, what is allowed.
+    /// Checks the JSON of an evaluated template. On failure it returns all errors, one on each line: the
+    /// file, the path of the field, the given value, and what is allowed.
     pub fn parse(json: &str, path: &Path) -> Result<Self, String> {
-        let shown = path.display();
-        let given: Value = serde_json::from_str(json).map_err(|error| format!("{shown}: {error}"))?;
-        let mut sheet =
+        let display = path.display();
+        let given: Value = serde_json::from_str(json).map_err(|error| format!("{display}: {error}"))?;
+        let mut file =
             Self { folder: path.parent().unwrap_or(Path::new(".")).to_path_buf(), ..Self::default() };
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         match given.as_object() {
             Some(sections) => {
                 for (name, section) in sections {
-                    sheet.take_section(name, section, &mut faults);
+                    file.read_section(name, section, &mut errors);
                 }
-                sheet.fill_in(sections);
+                file.add_default_sections(sections);
             }
-            None => faults.push(format!("{} given, allowed is an object of sections", shape(&given))),
+            None => errors.push(format!("{} given, allowed is an object of sections", type_name(&given))),
         }
-        if faults.is_empty() {
-            return Ok(sheet);
+        if errors.is_empty() {
+            return Ok(file);
         }
-        let lines: Vec<String> = faults.iter().map(|fault| format!("{shown}: {fault}")).collect();
-        Err(lines.join("\n"))
+        let error_lines: Vec<String> = errors.iter().map(|error| format!("{display}: {error}")).collect();
+        Err(error_lines.join("\n"))
     }
 
-    /// Adds the sections that were not given and need nothing.
-    fn fill_in(&mut self, given: &Map<String, Value>) {
+    /// Adds the sections that are not given and have no required field.
+    fn add_default_sections(&mut self, given: &Map<String, Value>) {
         for (name, _) in SECTIONS.iter().filter(|(name, _)| !given.contains_key(*name)) {
-            let needs = |field: &Field| field.section() == *name && field.default.is_none();
-            if !FIELDS.iter().any(needs) {
-                self.take_section(name, &Value::Object(Map::new()), &mut Vec::new());
+            let is_required = |field: &Field| field.section() == *name && field.default.is_none();
+            if !FIELDS.iter().any(is_required) {
+                self.read_section(name, &Value::Object(Map::new()), &mut Vec::new());
             }
         }
     }
 
-    fn take_section(&mut self, name: &str, section: &Value, faults: &mut Vec<String>) {
-        let fields = || FIELDS.iter().filter(|field| field.section() == name);
+    fn read_section(&mut self, name: &str, section: &Value, errors: &mut Vec<String>) {
+        let section_fields = || FIELDS.iter().filter(|field| field.section() == name);
         if !SECTIONS.iter().any(|(known, _)| *known == name) {
             let known: Vec<&str> = SECTIONS.iter().map(|(known, _)| *known).collect();
-            return faults.push(format!("{name}: no such section, allowed are {}", known.join(", ")));
+            return errors.push(format!("{name}: no such section, allowed are {}", known.join(", ")));
         }
         let Some(given) = section.as_object() else {
-            return faults.push(format!("{name}: {} given, allowed is an object", shape(section)));
+            return errors.push(format!("{name}: {} given, allowed is an object", type_name(section)));
         };
-        for unknown in given.keys().filter(|key| !fields().any(|field| field.name() == key.as_str())) {
-            let known: Vec<&str> = fields().map(Field::name).collect();
-            faults.push(format!("{name}.{unknown}: no such field, allowed are {}", known.join(", ")));
+        for unknown in given.keys().filter(|key| !section_fields().any(|field| field.name() == key.as_str()))
+        {
+            let known: Vec<&str> = section_fields().map(Field::name).collect();
+            errors.push(format!("{name}.{unknown}: no such field, allowed are {}", known.join(", ")));
         }
-        for field in fields() {
+        for field in section_fields() {
             let value = match given.get(field.name()).filter(|value| !value.is_null()) {
                 Some(value) => value.clone(),
                 None => match field.default {
                     Some(default) => serde_json::from_str(default).unwrap_or(Value::Null),
                     None => {
-                        faults.push(format!("{}: missing, allowed is {}", field.path, allowed(field)));
+                        errors.push(format!(
+                            "{}: missing, allowed is {}",
+                            field.path,
+                            describe_allowed(field)
+                        ));
                         continue;
                     }
                 },
@@ -103,40 +108,44 @@
             if value.is_null() {
                 continue;
             }
-            match normal(field.kind, &value) {
+            match normalize(field.kind, &value) {
                 Some(value) => {
                     self.values.insert(field.path, value);
                 }
-                None => faults.push(format!("{}: {value} given, allowed is {}", field.path, allowed(field))),
+                None => errors.push(format!(
+                    "{}: {value} given, allowed is {}",
+                    field.path,
+                    describe_allowed(field)
+                )),
             }
         }
     }
 
-    /// A section, if the file holds it.
+    /// Returns a section if the file contains it or all its fields have defaults.
     pub fn section<'a>(&'a self, name: &'a str) -> Option<Section<'a>> {
-        self.fields().any(|(path, _)| path.starts_with(name)).then_some(Section { sheet: self, name })
+        self.fields().any(|(path, _)| path.starts_with(name)).then_some(Section { file: self, name })
     }
 
-    /// All fields that are set, defaults among them.
+    /// All fields that have a value, including defaults.
     pub fn fields(&self) -> impl Iterator<Item = (&'static str, &Value)> {
         self.values.iter().map(|(path, value)| (*path, value))
     }
 
-    /// The files that the operator file names and that can't be read, a line each.
+    /// The files that the operator file names but that can't be accessed, one message for each.
     pub fn unreadable_files(&self) -> Vec<String> {
         let files = FIELDS.iter().filter(|field| field.kind == FieldKind::File);
-        let named = files.filter_map(|field| Some((field, self.values.get(field.path)?.as_str()?)));
-        let fault = |(field, path): (&Field, &str)| {
+        let configured = files.filter_map(|field| Some((field, self.values.get(field.path)?.as_str()?)));
+        let access_error = |(field, path): (&Field, &str)| {
             let error = fs::metadata(self.folder.join(path)).err()?;
             Some(format!("{}: {}: {error}", field.path, self.folder.join(path).display()))
         };
-        named.filter_map(fault).collect()
+        configured.filter_map(access_error).collect()
     }
 }
 
 impl<'a> Section<'a> {
     fn value(&self, field: &str) -> Option<&'a Value> {
-        self.sheet.values.get(format!("{}.{field}", self.name).as_str())
+        self.file.values.get(format!("{}.{field}", self.name).as_str())
     }
 
     pub fn text(&self, field: &str) -> &'a str {
@@ -156,52 +165,54 @@
     }
 
     pub fn text_list(&self, field: &str) -> Vec<&'a str> {
-        let rows = self.value(field).and_then(Value::as_array);
-        rows.into_iter().flatten().filter_map(Value::as_str).collect()
+        let items = self.value(field).and_then(Value::as_array);
+        items.into_iter().flatten().filter_map(Value::as_str).collect()
     }
 
-    /// A path, from the operator file's folder.
+    /// The path of a file. A relative path starts at the operator file's folder.
     pub fn file_path(&self, field: &str) -> Option<PathBuf> {
-        Some(self.sheet.folder.join(self.value(field)?.as_str()?))
+        Some(self.file.folder.join(self.value(field)?.as_str()?))
     }
 }
 
-/// The value as the getters read it, if the kind allows it.
-fn normal(kind: FieldKind, value: &Value) -> Option<Value> {
+/// Returns the value in the form that the getters read, if the kind allows it.
+fn normalize(kind: FieldKind, value: &Value) -> Option<Value> {
     match kind {
-        FieldKind::Choice(words) => words.contains(&value.as_str()?).then(|| value.clone()),
-        FieldKind::Text(most) => (1..=most).contains(&value.as_str()?.len()).then(|| value.clone()),
-        FieldKind::Integer(least, most) => {
+        FieldKind::Choice(choices) => choices.contains(&value.as_str()?).then(|| value.clone()),
+        FieldKind::Text(max_bytes) => (1..=max_bytes).contains(&value.as_str()?.len()).then(|| value.clone()),
+        FieldKind::Integer(min, max) => {
             let number = value.as_f64().filter(|number| number.fract() == 0.0 && *number >= 0.0)? as u64;
-            (least..=most).contains(&number).then(|| number.into())
+            (min..=max).contains(&number).then(|| number.into())
         }
         FieldKind::Address => value.as_str()?.parse::<SocketAddr>().ok().map(|_| value.clone()),
         FieldKind::File => (!value.as_str()?.is_empty()).then(|| value.clone()),
-        FieldKind::List(most, each) => {
-            let rows = value.as_array().filter(|rows| rows.len() <= most)?;
-            rows.iter().map(|row| normal(*each, row)).collect::<Option<Vec<_>>>().map(Value::Array)
+        FieldKind::List(max_items, item_kind) => {
+            let items = value.as_array().filter(|items| items.len() <= max_items)?;
+            items.iter().map(|item| normalize(*item_kind, item)).collect::<Option<Vec<_>>>().map(Value::Array)
         }
     }
 }
 
-/// What a field allows, in words.
-pub fn allowed(field: &Field) -> String {
-    let words = of_kind(field.kind);
-    if field.unit.is_empty() { words } else { format!("{words} ({})", field.unit) }
+/// Describes the values that a field allows.
+pub fn describe_allowed(field: &Field) -> String {
+    let description = describe_kind(field.kind);
+    if field.unit.is_empty() { description } else { format!("{description} ({})", field.unit) }
 }
 
-fn of_kind(kind: FieldKind) -> String {
+fn describe_kind(kind: FieldKind) -> String {
     match kind {
-        FieldKind::Choice(words) => format!("one of {}", words.join(", ")),
-        FieldKind::Text(most) => format!("text of 1 to {most} bytes"),
-        FieldKind::Integer(least, most) => format!("a whole number from {least} to {most}"),
+        FieldKind::Choice(choices) => format!("one of {}", choices.join(", ")),
+        FieldKind::Text(max_bytes) => format!("text of 1 to {max_bytes} bytes"),
+        FieldKind::Integer(min, max) => format!("a whole number from {min} to {max}"),
         FieldKind::Address => "an IP address and port, as in 10.0.0.4:7946 or [::1]:7946".to_owned(),
         FieldKind::File => "the path of a file".to_owned(),
-        FieldKind::List(most, each) => format!("a list of up to {most}, each {}", of_kind(*each)),
+        FieldKind::List(max_items, item_kind) => {
+            format!("a list of up to {max_items}, each {}", describe_kind(*item_kind))
+        }
     }
 }
 
-fn shape(value: &Value) -> &'static str {
+fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "a flag",
--- a/crates/operator/src/subprocess.rs
+++ b/crates/operator/src/subprocess.rs
@@ -1,4 +1,4 @@
-//! Evaluates a template in a process of its own, so that neither its time nor its memory is the router's.
+//! Evaluates a template in a child process, so that it can't use up the router's time or memory.
 
 use std::io::Read;
 use std::path::Path;
@@ -11,19 +11,20 @@
 
 use crate::template;
 
-/// The hidden command with which the program evaluates a template for itself.
+/// The hidden command of the program that evaluates a template in the child process.
 pub const EVALUATE_COMMAND: &str = "evaluate-template";
-/// What one evaluation may take: memory in bytes, seconds of the processor, and of the wall clock.
+/// The limits of one evaluation: memory in bytes, processor time in seconds, and wall-clock time.
 pub const MAX_MEMORY_BYTES: u64 = 24 * 1024 * 1024;
 pub const MAX_CPU_SECONDS: u64 = 2;
 pub const MAX_WALL_TIME: Duration = Duration::from_secs(10);
+/// The stack size of the timer thread in the child process.
 const TIMER_STACK_BYTES: usize = 64 * 1024;
-/// The largest result, in bytes.
+/// The maximum length of the result in bytes.
 pub const MAX_RESULT_BYTES: u64 = 1024 * 1024;
 
-/// Evaluates the template within the bounds, by starting `program` (woadhook itself) anew.
+/// Evaluates the template within the limits, in a child process that runs `program` (woadhook itself).
 pub fn evaluate(program: &Path, template: &Path) -> Result<String, String> {
-    let shown = template.display();
+    let display = template.display();
     let mut child = Command::new(program)
         .arg(EVALUATE_COMMAND)
         .arg(template)
@@ -31,62 +32,65 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .map_err(|error| format!("{shown}: {}: {error}", program.display()))?;
-    let (out, told) = (child.stdout.take(), child.stderr.take());
-    let (done, ends) = mpsc::channel();
+        .map_err(|error| format!("{display}: {}: {error}", program.display()))?;
+    let (stdout, stderr) = (child.stdout.take(), child.stderr.take());
+    let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
-        let take = |from: Option<&mut dyn Read>, most| {
+        let read_limited = |from: Option<&mut dyn Read>, max_bytes| {
             let mut text = String::new();
-            let read = from.map(|from| from.take(most).read_to_string(&mut text));
+            let read = from.map(|from| from.take(max_bytes).read_to_string(&mut text));
             read.transpose().map(|_| text)
         };
-        let (mut out, mut told) = (out, told);
-        let result = take(out.as_mut().map(|out| out as &mut dyn Read), MAX_RESULT_BYTES + 1);
-        let fault = take(told.as_mut().map(|told| told as &mut dyn Read), 64 * 1024);
-        let _ = done.send((result, fault));
+        let (mut stdout, mut stderr) = (stdout, stderr);
+        let result = read_limited(stdout.as_mut().map(|pipe| pipe as &mut dyn Read), MAX_RESULT_BYTES + 1);
+        let error_text = read_limited(stderr.as_mut().map(|pipe| pipe as &mut dyn Read), 64 * 1024);
+        let _ = sender.send((result, error_text));
     });
-    let heard = ends.recv_timeout(MAX_WALL_TIME);
-    // Past the wall time, or with more to say than is read, it is ended; it has no state to lose.
-    let ended = matches!(&heard, Ok((Ok(result), _)) if result.len() as u64 <= MAX_RESULT_BYTES);
-    if !ended {
+    let received = receiver.recv_timeout(MAX_WALL_TIME);
+    // A child that exceeds the wall-clock time or the length of the result is killed. It has no state to
+    // lose.
+    let completed = matches!(&received, Ok((Ok(result), _)) if result.len() as u64 <= MAX_RESULT_BYTES);
+    if !completed {
         let _ = child.kill();
     }
-    let status = child.wait().map_err(|error| format!("{shown}: {error}"))?;
-    let (result, fault) =
-        heard.map_err(|_| format!("{shown}: not evaluated within {} seconds", MAX_WALL_TIME.as_secs()))?;
-    let result = result.map_err(|error| format!("{shown}: {error}"))?;
+    let status = child.wait().map_err(|error| format!("{display}: {error}"))?;
+    let (result, error_text) = received
+        .map_err(|_| format!("{display}: not evaluated within {} seconds", MAX_WALL_TIME.as_secs()))?;
+    let result = result.map_err(|error| format!("{display}: {error}"))?;
     if result.len() as u64 > MAX_RESULT_BYTES {
-        return Err(format!("{shown}: stands for more than {MAX_RESULT_BYTES} bytes, which are allowed"));
+        return Err(format!("{display}: the result is longer than the allowed {MAX_RESULT_BYTES} bytes"));
     }
     if result.ends_with('\n') {
         return Ok(result);
     }
-    let fault = fault.unwrap_or_default();
-    let fault = fault.lines().next().unwrap_or_default();
-    Err(match (fault, status.code()) {
-        (fault, Some(1)) if !fault.is_empty() => fault.to_owned(),
+    let error_text = error_text.unwrap_or_default();
+    let error_text = error_text.lines().next().unwrap_or_default();
+    Err(match (error_text, status.code()) {
+        (error_text, Some(1)) if !error_text.is_empty() => error_text.to_owned(),
         _ => format!(
-            "{shown}: evaluation ended at its bounds ({} MB, {MAX_CPU_SECONDS} s of the processor)",
+            "{display}: evaluation ended at its limits ({} MB of memory, {MAX_CPU_SECONDS} s of processor time)",
             MAX_MEMORY_BYTES / (1024 * 1024)
         ),
     })
 }
 
-/// What the hidden command does: limits its own process, evaluates, and writes the result with a line feed behind it.
+/// Runs the hidden command: limits its own process, evaluates the template, and returns the result with a
+/// line feed at the end.
 pub fn run_child(template: &Path) -> Result<String, String> {
-    // Threat: a template that does not come, as from a FIFO without a writer, and a router that ends meanwhile: nobody else ends it.
-    let ends = || {
+    // Threat: reading the template blocks, for example on a FIFO without a writer, and the router exits
+    // meanwhile. Nothing else would end this process.
+    let exit_after_limit = || {
         thread::sleep(MAX_WALL_TIME);
         process::exit(1);
     };
-    let timer = thread::Builder::new().stack_size(TIMER_STACK_BYTES).spawn(ends);
+    let timer = thread::Builder::new().stack_size(TIMER_STACK_BYTES).spawn(exit_after_limit);
     timer.map_err(|error| format!("{}: {error}", template.display()))?;
-    for (resource, most) in [
+    for (resource, limit) in [
         (Resource::DATA, MAX_MEMORY_BYTES),
         (Resource::AS, 4 * MAX_MEMORY_BYTES),
         (Resource::CPU, MAX_CPU_SECONDS),
     ] {
-        resource.set(most, most).map_err(|error| format!("{}: {error}", template.display()))?;
+        resource.set(limit, limit).map_err(|error| format!("{}: {error}", template.display()))?;
     }
     template::evaluate(template).map(|json| json + "\n")
 }
--- a/crates/operator/src/template.rs
+++ b/crates/operator/src/template.rs
@@ -1,4 +1,4 @@
-//! Evaluates a Jsonnet template, which may import files from its own folder and below only.
+//! Evaluates a Jsonnet template, which may import files only from its own folder and the folders below.
 
 use std::collections::HashMap;
 use std::fs;
@@ -14,109 +14,117 @@
 };
 use rsjsonnet_lang::span::{SpanContextId, SpanId};
 
-/// The largest file that is read, in bytes.
+/// The maximum size of a file in bytes.
 pub const MAX_FILE_BYTES: u64 = 256 * 1024;
-/// The most files of one evaluation, the template among them.
+/// The maximum number of files that one evaluation reads, including the template.
 pub const MAX_FILES: usize = 64;
-/// How deep calls and fields may lie in one another.
-const STACK: usize = 200;
+/// The maximum depth of nested calls and fields.
+const MAX_STACK_DEPTH: usize = 200;
 
-/// The JSON that the template stands for, on one line. A fault names file, line and column.
+/// Evaluates a template to JSON on one line. Errors name the file, line and column.
 pub fn evaluate(path: &Path) -> Result<String, String> {
     let arena = Arena::new();
     let mut program = Program::new(&arena);
-    program.set_max_stack(STACK);
-    let shown = path.display().to_string();
-    let path = path.canonicalize().map_err(|error| format!("{shown}: {error}"))?;
+    program.set_max_stack(MAX_STACK_DEPTH);
+    let display_name = path.display().to_string();
+    let path = path.canonicalize().map_err(|error| format!("{display_name}: {error}"))?;
     let folder = path.parent().unwrap_or(Path::new("/")).to_path_buf();
-    let mut files = Files { folder, read: Vec::new(), loaded: HashMap::new(), fault: None };
-    let root = files.load(&mut program, &path, shown)?;
+    let mut files = SourceFiles { folder, sources: Vec::new(), loaded: HashMap::new(), import_error: None };
+    let root = files.load(&mut program, &path, display_name)?;
     let value = program.eval_value(&root, &mut files);
-    let value = value.map_err(|error| files.evaluation_fault(&program, &error))?;
-    // Fields are evaluated by now only as far as the value's outside; the rest comes with the manifest.
+    let value = value.map_err(|error| files.describe_eval_error(&program, &error))?;
+    // Evaluation is lazy: by now only the outermost value is evaluated, and `manifest` evaluates what it
+    // contains.
     manifest(&mut program, &mut files, value)
 }
 
-/// Evaluates all that a value holds, with imports at hand, before it is written out.
+/// Evaluates everything that a value contains, with imports available, and returns it as JSON.
 fn manifest<'p>(
-    program: &mut Program<'p>, files: &mut Files<'p>, value: Value<'p>,
+    program: &mut Program<'p>, files: &mut SourceFiles<'p>, value: Value<'p>,
 ) -> Result<String, String> {
-    let wrapped = "function(value) std.manifestJsonMinified(value)";
-    let (context, _) = program.span_manager_mut().insert_source_context(wrapped.len());
-    files.read.push((context, "(result)".to_owned(), wrapped.as_bytes().to_vec()));
+    let manifest_source = "function(value) std.manifestJsonMinified(value)";
+    let (context, _) = program.span_manager_mut().insert_source_context(manifest_source.len());
+    files.sources.push((context, "(result)".to_owned(), manifest_source.as_bytes().to_vec()));
     let function = program
-        .load_source(context, wrapped.as_bytes(), true, "(result)")
-        .map_err(|error| files.load_fault(program, &error))?;
+        .load_source(context, manifest_source.as_bytes(), true, "(result)")
+        .map_err(|error| files.describe_load_error(program, &error))?;
     let argument = program.value_to_thunk(&value);
     let text = program.eval_call(&function, &[argument], &[], files);
-    let text = text.map_err(|error| files.evaluation_fault(program, &error))?;
-    text.to_string().ok_or_else(|| "the template stands for no value".to_owned())
+    let text = text.map_err(|error| files.describe_eval_error(program, &error))?;
+    text.to_string().ok_or_else(|| "the template has no JSON value".to_owned())
 }
 
-/// The files of one evaluation.
-struct Files<'p> {
+/// The files that one evaluation has read, and its import callbacks.
+struct SourceFiles<'p> {
     folder: PathBuf,
-    /// Name and text by the context that the evaluator gave them.
-    read: Vec<(SpanContextId, String, Vec<u8>)>,
+    /// The source context that the evaluator assigned to each file, with the file's name and text.
+    sources: Vec<(SpanContextId, String, Vec<u8>)>,
     loaded: HashMap<PathBuf, Thunk<'p>>,
-    /// Why an import failed, which the evaluator itself does not carry.
-    fault: Option<String>,
+    /// Why an import failed. The evaluator's own error does not contain the reason.
+    import_error: Option<String>,
 }
 
-impl<'p> Files<'p> {
-    fn load(&mut self, program: &mut Program<'p>, path: &Path, shown: String) -> Result<Thunk<'p>, String> {
-        let bytes = self.text(path, &shown)?;
+impl<'p> SourceFiles<'p> {
+    fn load(
+        &mut self, program: &mut Program<'p>, path: &Path, display_name: String,
+    ) -> Result<Thunk<'p>, String> {
+        let bytes = self.read_file(path, &display_name)?;
         let (context, _) = program.span_manager_mut().insert_source_context(bytes.len());
-        self.read.push((context, shown.clone(), bytes.clone()));
-        let thunk = program.load_source(context, &bytes, true, &shown);
-        let thunk = thunk.map_err(|error| self.load_fault(program, &error))?;
+        self.sources.push((context, display_name.clone(), bytes.clone()));
+        let thunk = program.load_source(context, &bytes, true, &display_name);
+        let thunk = thunk.map_err(|error| self.describe_load_error(program, &error))?;
         self.loaded.insert(path.to_path_buf(), thunk.clone());
         Ok(thunk)
     }
 
-    fn text(&self, path: &Path, shown: &str) -> Result<Vec<u8>, String> {
-        if self.read.len() >= MAX_FILES {
-            return Err(format!("{shown}: more than {MAX_FILES} files"));
+    fn read_file(&self, path: &Path, display_name: &str) -> Result<Vec<u8>, String> {
+        if self.sources.len() >= MAX_FILES {
+            return Err(format!("{display_name}: more than {MAX_FILES} files"));
         }
-        let length = fs::metadata(path).map_err(|error| format!("{shown}: {error}"))?.len();
+        let length = fs::metadata(path).map_err(|error| format!("{display_name}: {error}"))?.len();
         if length > MAX_FILE_BYTES {
-            return Err(format!("{shown}: {length} bytes, allowed are {MAX_FILE_BYTES}"));
+            return Err(format!("{display_name}: {length} bytes, allowed are {MAX_FILE_BYTES}"));
         }
-        fs::read(path).map_err(|error| format!("{shown}: {error}"))
+        fs::read(path).map_err(|error| format!("{display_name}: {error}"))
     }
 
-    /// The file that an import means, if it lies in the template's folder or below, links resolved.
+    /// Finds the file that an import names. With links resolved, it must be in the template's folder or
+    /// below.
     fn resolve(&self, program: &Program<'p>, from: SpanId, path: &str) -> Result<PathBuf, String> {
-        let at = self.place(program, from);
+        let at = self.position(program, from);
         let (context, ..) = program.span_manager().get_span(from);
-        let beside = self.read.iter().find(|(known, ..)| *known == context);
-        let beside = beside.and_then(|(_, name, _)| Path::new(name).parent().map(Path::to_path_buf));
-        let base = beside.and_then(|folder| folder.canonicalize().ok()).unwrap_or(self.folder.clone());
-        let found =
+        let importing_file = self.sources.iter().find(|(known, ..)| *known == context);
+        let importing_file =
+            importing_file.and_then(|(_, name, _)| Path::new(name).parent().map(Path::to_path_buf));
+        let base =
+            importing_file.and_then(|folder| folder.canonicalize().ok()).unwrap_or(self.folder.clone());
+        let resolved =
             base.join(path).canonicalize().map_err(|error| format!("{at}: import {path}: {error}"))?;
-        if !found.starts_with(&self.folder) {
+        if !resolved.starts_with(&self.folder) {
             return Err(format!("{at}: import {path}: allowed are files in the template's own folder"));
         }
-        Ok(found)
+        Ok(resolved)
     }
 
-    fn bytes(&mut self, program: &Program<'p>, from: SpanId, path: &str) -> Result<Vec<u8>, ImportError> {
-        let read = self.resolve(program, from, path).and_then(|found| {
-            let bytes = self.text(&found, path)?;
+    fn read_import(
+        &mut self, program: &Program<'p>, from: SpanId, path: &str,
+    ) -> Result<Vec<u8>, ImportError> {
+        let contents = self.resolve(program, from, path).and_then(|resolved| {
+            let bytes = self.read_file(&resolved, path)?;
             Ok(bytes)
         });
-        read.map_err(|fault| self.fail(fault))
+        contents.map_err(|error| self.record_error(error))
     }
 
-    fn fail(&mut self, fault: String) -> ImportError {
-        self.fault = Some(fault);
+    fn record_error(&mut self, error: String) -> ImportError {
+        self.import_error = Some(error);
         ImportError
     }
 
-    /// File, line and column of a place in the sources.
-    fn place(&self, program: &Program<'p>, span: SpanId) -> String {
+    /// The file, line and column of a position in the sources.
+    fn position(&self, program: &Program<'p>, span: SpanId) -> String {
         let (context, start, _) = program.span_manager().get_span(span);
-        let Some((_, name, text)) = self.read.iter().find(|(known, ..)| *known == context) else {
+        let Some((_, name, text)) = self.sources.iter().find(|(known, ..)| *known == context) else {
             return "standard library".to_owned();
         };
         let before = &text[..start.min(text.len())];
@@ -125,23 +133,23 @@
         format!("{name}:{line}:{column}")
     }
 
-    fn load_fault(&self, program: &Program<'p>, error: &LoadError) -> String {
+    fn describe_load_error(&self, program: &Program<'p>, error: &LoadError) -> String {
         let (span, why) = match error {
-            LoadError::Lex(error) => lexed(error),
+            LoadError::Lex(error) => describe_lex_error(error),
             LoadError::Parse(ParseError::Expected { span, expected, instead }) => {
                 let expected: Vec<String> =
-                    expected.iter().map(|token| plain(&format!("{token:?}"))).collect();
-                let instead = plain(&format!("{instead:?}"));
-                (*span, format!("{instead} where one of these is allowed: {}", expected.join(", ")))
+                    expected.iter().map(|token| error_name(&format!("{token:?}"))).collect();
+                let instead = error_name(&format!("{instead:?}"));
+                (*span, format!("{instead} found, expected one of: {}", expected.join(", ")))
             }
-            LoadError::Analyze(error) => analyzed(error),
+            LoadError::Analyze(error) => describe_analyze_error(error),
         };
-        format!("{}: {why}", self.place(program, span))
+        format!("{}: {why}", self.position(program, span))
     }
 
-    fn evaluation_fault(&mut self, program: &Program<'p>, error: &EvalError) -> String {
-        if let Some(fault) = self.fault.take() {
-            return fault;
+    fn describe_eval_error(&mut self, program: &Program<'p>, error: &EvalError) -> String {
+        if let Some(error) = self.import_error.take() {
+            return error;
         }
         let span = |item: &EvalStackTraceItem| match item {
             EvalStackTraceItem::Expr { span }
@@ -152,23 +160,24 @@
             | EvalStackTraceItem::ObjectField { span, .. } => *span,
             _ => None,
         };
-        let spans = of_kind(&error.kind).into_iter().chain(error.stack_trace.iter().rev().filter_map(span));
-        let mut places = spans.map(|span| self.place(program, span));
-        let at = places.find(|place| place != "standard library" && !place.starts_with('('));
+        let spans =
+            error_span(&error.kind).into_iter().chain(error.stack_trace.iter().rev().filter_map(span));
+        let mut positions = spans.map(|span| self.position(program, span));
+        let at = positions.find(|position| position != "standard library" && !position.starts_with('('));
         let why = match &error.kind {
             EvalErrorKind::ExplicitError { message, .. } => message.clone(),
-            other => plain(&format!("{other:?}")),
+            other => error_name(&format!("{other:?}")),
         };
         format!("{}: {why}", at.unwrap_or_else(|| "in the template".to_owned()))
     }
 }
 
-/// The evaluator's word for a kind of fault, without the numbers of its spans.
-fn plain(shown: &str) -> String {
-    let word: String = shown.chars().take_while(|c| c.is_alphanumeric()).collect();
-    let name = shown.split("name: \"").nth(1).and_then(|rest| rest.split('"').next());
+/// The evaluator's name for a kind of error in lower-case words, without the numbers of its spans.
+fn error_name(debug_text: &str) -> String {
+    let type_name: String = debug_text.chars().take_while(|c| c.is_alphanumeric()).collect();
+    let name = debug_text.split("name: \"").nth(1).and_then(|rest| rest.split('"').next());
     let mut words = String::new();
-    for c in word.chars() {
+    for c in type_name.chars() {
         if c.is_uppercase() && !words.is_empty() {
             words.push(' ');
         }
@@ -177,43 +186,43 @@
     name.map_or(words.clone(), |name| format!("{words} {name}"))
 }
 
-/// Where a fault of evaluation lies, as far as its kind knows.
-fn of_kind(kind: &EvalErrorKind) -> Option<SpanId> {
-    use EvalErrorKind as Of;
+/// The location of an evaluation error, if its kind has one.
+fn error_span(kind: &EvalErrorKind) -> Option<SpanId> {
+    use EvalErrorKind as Kind;
     match kind {
-        Of::InvalidIndexedType { span, .. }
-        | Of::InvalidSlicedType { span, .. }
-        | Of::SliceIndexOrStepIsNotNumber { span, .. }
-        | Of::StringIndexIsNotNumber { span, .. }
-        | Of::ArrayIndexIsNotNumber { span, .. }
-        | Of::NumericIndexIsNotValid { span, .. }
-        | Of::NumericIndexOutOfRange { span, .. }
-        | Of::ObjectIndexIsNotString { span, .. }
-        | Of::RepeatedFieldName { span, .. }
-        | Of::FieldNameIsNotString { span, .. }
-        | Of::UnknownObjectField { span, .. }
-        | Of::FieldOfNonObject { span }
-        | Of::SuperWithoutSuperObject { span }
-        | Of::ForSpecValueIsNotArray { span, .. }
-        | Of::CondIsNotBool { span, .. }
-        | Of::InvalidUnaryOpType { span, .. }
-        | Of::AssertFailed { span, .. }
-        | Of::ExplicitError { span, .. }
-        | Of::ImportFailed { span, .. } => Some(*span),
-        Of::CalleeIsNotFunction { span, .. }
-        | Of::TooManyCallArgs { span, .. }
-        | Of::UnknownCallParam { span, .. }
-        | Of::RepeatedCallParam { span, .. }
-        | Of::CallParamNotBound { span, .. }
-        | Of::InvalidBinaryOpTypes { span, .. }
-        | Of::NumberNan { span }
-        | Of::DivByZero { span }
-        | Of::Other { span, .. } => *span,
+        Kind::InvalidIndexedType { span, .. }
+        | Kind::InvalidSlicedType { span, .. }
+        | Kind::SliceIndexOrStepIsNotNumber { span, .. }
+        | Kind::StringIndexIsNotNumber { span, .. }
+        | Kind::ArrayIndexIsNotNumber { span, .. }
+        | Kind::NumericIndexIsNotValid { span, .. }
+        | Kind::NumericIndexOutOfRange { span, .. }
+        | Kind::ObjectIndexIsNotString { span, .. }
+        | Kind::RepeatedFieldName { span, .. }
+        | Kind::FieldNameIsNotString { span, .. }
+        | Kind::UnknownObjectField { span, .. }
+        | Kind::FieldOfNonObject { span }
+        | Kind::SuperWithoutSuperObject { span }
+        | Kind::ForSpecValueIsNotArray { span, .. }
+        | Kind::CondIsNotBool { span, .. }
+        | Kind::InvalidUnaryOpType { span, .. }
+        | Kind::AssertFailed { span, .. }
+        | Kind::ExplicitError { span, .. }
+        | Kind::ImportFailed { span, .. } => Some(*span),
+        Kind::CalleeIsNotFunction { span, .. }
+        | Kind::TooManyCallArgs { span, .. }
+        | Kind::UnknownCallParam { span, .. }
+        | Kind::RepeatedCallParam { span, .. }
+        | Kind::CallParamNotBound { span, .. }
+        | Kind::InvalidBinaryOpTypes { span, .. }
+        | Kind::NumberNan { span }
+        | Kind::DivByZero { span }
+        | Kind::Other { span, .. } => *span,
         _ => None,
     }
 }
 
-fn lexed(error: &LexError) -> (SpanId, String) {
+fn describe_lex_error(error: &LexError) -> (SpanId, String) {
     let span = match error {
         LexError::InvalidChar { span, .. }
         | LexError::InvalidUtf8 { span, .. }
@@ -231,10 +240,10 @@
         | LexError::MissingWhitespaceTextBlockStart { span }
         | LexError::InvalidTextBlockTermination { span } => *span,
     };
-    (span, plain(&format!("{error:?}")))
+    (span, error_name(&format!("{error:?}")))
 }
 
-fn analyzed(error: &AnalyzeError) -> (SpanId, String) {
+fn describe_analyze_error(error: &AnalyzeError) -> (SpanId, String) {
     let span = match error {
         AnalyzeError::UnknownVariable { span, .. }
         | AnalyzeError::TextBlockAsImportPath { span }
@@ -247,32 +256,32 @@
         | AnalyzeError::RepeatedParamName { repeated_span, .. } => *repeated_span,
         AnalyzeError::PositionalArgAfterNamed { arg_span } => *arg_span,
     };
-    (span, plain(&format!("{error:?}")))
+    (span, error_name(&format!("{error:?}")))
 }
 
-impl<'p> Callbacks<'p> for Files<'p> {
+impl<'p> Callbacks<'p> for SourceFiles<'p> {
     fn import(
         &mut self, program: &mut Program<'p>, from: SpanId, path: &str,
     ) -> Result<Thunk<'p>, ImportError> {
-        let found = self.resolve(program, from, path).map_err(|fault| self.fail(fault))?;
-        if let Some(thunk) = self.loaded.get(&found) {
+        let resolved = self.resolve(program, from, path).map_err(|error| self.record_error(error))?;
+        if let Some(thunk) = self.loaded.get(&resolved) {
             return Ok(thunk.clone());
         }
-        let shown = found.display().to_string();
-        self.load(program, &found, shown).map_err(|fault| self.fail(fault))
+        let display_name = resolved.display().to_string();
+        self.load(program, &resolved, display_name).map_err(|error| self.record_error(error))
     }
 
     fn import_str(
         &mut self, program: &mut Program<'p>, from: SpanId, path: &str,
     ) -> Result<String, ImportError> {
-        let bytes = self.bytes(program, from, path)?;
-        String::from_utf8(bytes).map_err(|error| self.fail(format!("import {path}: {error}")))
+        let bytes = self.read_import(program, from, path)?;
+        String::from_utf8(bytes).map_err(|error| self.record_error(format!("import {path}: {error}")))
     }
 
     fn import_bin(
         &mut self, program: &mut Program<'p>, from: SpanId, path: &str,
     ) -> Result<Vec<u8>, ImportError> {
-        self.bytes(program, from, path)
+        self.read_import(program, from, path)
     }
 
     fn trace(&mut self, _: &mut Program<'p>, _: &str, _: &[EvalStackTraceItem]) {}
--- a/crates/operator/tests/operator.rs
+++ b/crates/operator/tests/operator.rs
@@ -1,13 +1,13 @@
-//! What operators may write into their file, and what they are told where they may not.
+//! Tests of the operator file: which files are valid, and which errors are reported for others.
 
 use std::fs;
 use std::path::PathBuf;
 
 use woadhook_operator::{FIELDS, OperatorFile, page, template};
 
-/// A folder of its own for a story, with a file in it.
-fn folder(story: &str, files: &[(&str, &str)]) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{story}"));
+/// Creates a separate folder for a test case, with these files in it.
+fn folder(case: &str, files: &[(&str, &str)]) -> PathBuf {
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{case}"));
     let _ = fs::remove_dir_all(&folder);
     for (name, text) in files {
         let path = folder.join(name);
@@ -17,14 +17,14 @@
     folder
 }
 
-fn fault(story: &str, files: &[(&str, &str)]) -> String {
-    template::evaluate(&folder(story, files).join("main.jsonnet")).unwrap_err()
+fn evaluation_error(case: &str, files: &[(&str, &str)]) -> String {
+    template::evaluate(&folder(case, files).join("main.jsonnet")).unwrap_err()
 }
 
 const GOSSIP: &str = r#"{cluster: "c", listen: "127.0.0.1:7946", key: "k", pass: "p", operator_keys: []}"#;
 
 #[test]
-fn a_template_with_imports_and_functions_stands_for_its_values() {
+fn template_with_imports_and_functions_is_evaluated() {
     let main = format!("local base = import 'lib/base.libsonnet'; {{ gossip: base({GOSSIP}, 100) }}");
     let folder = folder(
         "whole",
@@ -38,60 +38,66 @@
         ],
     );
     let path = folder.join("main.jsonnet");
-    let sheet = OperatorFile::parse(&template::evaluate(&path).unwrap(), &path).unwrap();
-    let gossip = sheet.section("gossip").unwrap();
+    let file = OperatorFile::parse(&template::evaluate(&path).unwrap(), &path).unwrap();
+    let gossip = file.section("gossip").unwrap();
     assert_eq!((gossip.integer("period_ms"), gossip.integer("checks_per_s")), (100, 400));
     assert_eq!(gossip.address_list("seeds").len(), 3);
     assert_eq!(gossip.file_path("key"), Some(folder.join("k")));
     assert_eq!(gossip.address("advertise"), None);
-    assert_eq!(sheet.section("log").unwrap().text("level"), "info", "what needs nothing is always there");
-    assert_eq!(sheet.unreadable_files().len(), 2);
+    assert_eq!(
+        file.section("log").unwrap().text("level"),
+        "info",
+        "a section without required fields is always present"
+    );
+    assert_eq!(file.unreadable_files().len(), 2);
 }
 
 #[test]
-fn faults_of_the_language_name_file_line_and_column() {
-    let told = fault("syntax", &[("main.jsonnet", "{\n  gossip: {\n    cluster = 'x',\n  },\n}\n")]);
-    assert!(told.contains("main.jsonnet:3:13: "), "{told}");
-    let told = fault("name", &[("main.jsonnet", "{ log: {\n level: nothing } }")]);
-    assert!(told.contains("main.jsonnet:2:9: unknown variable nothing"), "{told}");
-    let told = fault("text", &[("main.jsonnet", "{ log: 'x")]);
-    assert!(told.contains("main.jsonnet:1:8: unfinished string"), "{told}");
-    let told = fault("own", &[("main.jsonnet", "{\n log: error 'no log here' }")]);
-    assert!(told.contains("main.jsonnet:2:") && told.contains("no log here"), "{told}");
-    let told = fault("import", &[("main.jsonnet", "import 'b.jsonnet'"), ("b.jsonnet", "{\n\n a: }")]);
-    assert!(told.contains("b.jsonnet:3:5: "), "{told}");
+fn language_errors_name_file_line_and_column() {
+    let error =
+        evaluation_error("syntax", &[("main.jsonnet", "{\n  gossip: {\n    cluster = 'x',\n  },\n}\n")]);
+    assert!(error.contains("main.jsonnet:3:13: "), "{error}");
+    let error = evaluation_error("name", &[("main.jsonnet", "{ log: {\n level: nothing } }")]);
+    assert!(error.contains("main.jsonnet:2:9: unknown variable nothing"), "{error}");
+    let error = evaluation_error("text", &[("main.jsonnet", "{ log: 'x")]);
+    assert!(error.contains("main.jsonnet:1:8: unfinished string"), "{error}");
+    let error = evaluation_error("own", &[("main.jsonnet", "{\n log: error 'no log here' }")]);
+    assert!(error.contains("main.jsonnet:2:") && error.contains("no log here"), "{error}");
+    let error =
+        evaluation_error("import", &[("main.jsonnet", "import 'b.jsonnet'"), ("b.jsonnet", "{\n\n a: }")]);
+    assert!(error.contains("b.jsonnet:3:5: "), "{error}");
 }
 
 #[test]
-fn imports_from_outside_the_own_folder_are_refused() {
-    let told = fault("outside", &[("main.jsonnet", "import '../operator-whole/main.jsonnet'")]);
-    assert!(told.contains("import ../operator-whole/main.jsonnet"), "{told}");
-    let told = fault("absolute", &[("main.jsonnet", "importstr '/etc/passwd'")]);
-    assert!(told.contains("allowed are files in the template's own folder"), "{told}");
+fn imports_outside_the_template_folder_are_refused() {
+    let error = evaluation_error("outside", &[("main.jsonnet", "import '../operator-whole/main.jsonnet'")]);
+    assert!(error.contains("import ../operator-whole/main.jsonnet"), "{error}");
+    let error = evaluation_error("absolute", &[("main.jsonnet", "importstr '/etc/passwd'")]);
+    assert!(error.contains("allowed are files in the template's own folder"), "{error}");
     let linked = folder("linked", &[("main.jsonnet", "importstr 'link'")]);
     std::os::unix::fs::symlink("/etc/passwd", linked.join("link")).unwrap();
-    let told = template::evaluate(&linked.join("main.jsonnet")).unwrap_err();
-    assert!(told.contains("allowed are files in the template's own folder"), "{told}");
+    let error = template::evaluate(&linked.join("main.jsonnet")).unwrap_err();
+    assert!(error.contains("allowed are files in the template's own folder"), "{error}");
 }
 
 #[test]
-fn depth_and_size_are_bounded() {
-    let told = fault("deep", &[("main.jsonnet", "local f(n) = 1 + f(n + 1); { log: f(0) }")]);
-    assert!(told.contains("stack overflow"), "{told}");
-    let told = fault("large", &[("main.jsonnet", &format!("// {}\n{{}}", "x".repeat(300_000)))]);
-    assert!(told.contains("allowed are 262144"), "{told}");
+fn stack_depth_and_file_size_are_limited() {
+    let error = evaluation_error("deep", &[("main.jsonnet", "local f(n) = 1 + f(n + 1); { log: f(0) }")]);
+    assert!(error.contains("stack overflow"), "{error}");
+    let error = evaluation_error("large", &[("main.jsonnet", &format!("// {}\n{{}}", "x".repeat(300_000)))]);
+    assert!(error.contains("allowed are 262144"), "{error}");
 }
 
 #[test]
-fn faults_of_fields_name_the_path_and_what_is_allowed_all_at_once() {
+fn all_field_errors_are_reported_with_path_and_allowed_values() {
     let path = PathBuf::from("site.jsonnet");
-    let told = OperatorFile::parse(
+    let error = OperatorFile::parse(
         r#"{"log": {"format": "xml", "colour": true},
             "gossip": {"cluster": "", "listen": "here", "key": "k", "operator_keys": "none", "period_ms": 20.5},
             "gosip": {}}"#,
         &path,
     );
-    let told = told.unwrap_err();
+    let error = error.unwrap_err();
     for line in [
         "site.jsonnet: log.format: \"xml\" given, allowed is one of text, json",
         "site.jsonnet: log.colour: no such field, allowed are format, level",
@@ -102,9 +108,9 @@
         "site.jsonnet: gossip.period_ms: 20.5 given, allowed is a whole number from 50 to 10000 (milliseconds)",
         "site.jsonnet: gosip: no such section, allowed are log, pace, accord, gossip",
     ] {
-        assert!(told.contains(line), "{line}\nnot in\n{told}");
+        assert!(error.contains(line), "{line}\nnot in\n{error}");
     }
-    assert_eq!(told.lines().count(), 8);
+    assert_eq!(error.lines().count(), 8);
     assert!(
         OperatorFile::parse("[]", &path)
             .unwrap_err()
@@ -113,22 +119,22 @@
 }
 
 #[test]
-fn every_default_is_allowed_and_the_page_is_the_tables() {
+fn every_default_is_valid_and_the_page_matches_the_table() {
     for field in FIELDS {
         assert!(field.path.contains('.') && !field.description.is_empty(), "{}", field.path);
     }
-    let sheet = OperatorFile::parse(
+    let file = OperatorFile::parse(
         &format!("{{\"log\": {{}}, \"gossip\": {}}}", json_of(GOSSIP)),
         &PathBuf::from("x"),
     );
-    let sheet = sheet.unwrap();
+    let file = file.unwrap();
     let unset = ["gossip.advertise", "gossip.revoked", "gossip.order"];
-    assert_eq!(sheet.fields().count() + unset.len(), FIELDS.len());
+    assert_eq!(file.fields().count() + unset.len(), FIELDS.len());
     let page = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operating/fields.md"));
     assert_eq!(
         page.unwrap(),
         page::fields_markdown(),
-        "write it anew with: woadhook fields > docs/operating/fields.md"
+        "regenerate it with: woadhook fields > docs/operating/fields.md"
     );
 }
 
