--- a/crates/accord/src/follower.rs
+++ b/crates/accord/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a router that has no vote believes, and for how long.
+//! The follower: which state a router takes for the latest, and until when it may act on it.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 
 use crate::state::{DecidedState, Incarnation, NodeId, StateNumber, Voter};
 
-/// States that are kept while no majority has vouched for them.
-const CANDIDATES: usize = 4;
+/// The maximum number of states that are kept while no majority has attested them.
+const MAX_CANDIDATES: usize = 4;
 
-/// A voter's word that a state is the latest it knows. Its host signs it with the voter's key.
+/// A voter's statement that a state is the latest that it knows. The host signs it with the voter's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attestation {
     pub incarnation: Incarnation,
     pub number: StateNumber,
     pub digest: u64,
-    /// Microseconds of Unix time, on the voter's clock.
+    /// When the voter issued it: Unix time in microseconds, on the voter's clock.
     pub issued_at_us: u64,
 }
 
@@ -26,172 +26,193 @@
     }
 
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        whole(bytes)
+        decode_exact(bytes)
     }
 
-    /// With the state that it vouches for.
-    pub fn encode_with_state(&self, agreed: &DecidedState) -> Vec<u8> {
-        postcard::to_stdvec(&(self, agreed)).unwrap_or_default()
+    /// Encodes the attestation together with the state that it attests.
+    pub fn encode_with_state(&self, state: &DecidedState) -> Vec<u8> {
+        postcard::to_stdvec(&(self, state)).unwrap_or_default()
     }
 
     pub fn decode_with_state(bytes: &[u8]) -> Option<(Self, DecidedState)> {
-        whole(bytes)
+        decode_exact(bytes)
     }
 }
 
-fn whole<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
-    let (read, rest) = postcard::take_from_bytes(bytes).ok()?;
-    rest.is_empty().then_some(read)
+/// Decodes a value that takes up all the bytes.
+fn decode_exact<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
+    let (value, rest) = postcard::take_from_bytes(bytes).ok()?;
+    rest.is_empty().then_some(value)
 }
 
-/// What became of a word.
+/// The effect of a received state or attestation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerUpdate {
-    /// A later state is believed now.
+    /// A later state is confirmed now.
     StateAdvanced,
-    /// It is worth telling on.
+    /// The input was recorded and is worth passing on to others.
     Recorded,
+    /// The input was ignored.
     Ignored,
 }
 
+/// Follows the decided states by the attestations of the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Follower {
-    tolerance: Span,
+    clock_tolerance: Span,
     lease: Span,
-    most_content: usize,
-    /// The operator's order: the epoch, and whose votes count in it.
+    max_content_bytes: usize,
+    /// The operator's voter set: its epoch, and the routers whose votes count in it.
     epoch: u64,
-    named: Vec<NodeId>,
-    believed: Option<DecidedState>,
-    /// States that were heard of and not vouched for by a majority yet; the oldest goes for a new one.
+    voter_set: Vec<NodeId>,
+    /// The latest state that a majority of its voters has attested.
+    confirmed: Option<DecidedState>,
+    /// States that no majority has attested yet. A new one displaces the oldest.
     candidates: Vec<DecidedState>,
-    /// The latest word of each named voter; as many lines as names.
-    warrants: BTreeMap<NodeId, Attestation>,
+    /// The latest attestation of each router of the voter set; at most one entry for each.
+    attestations: BTreeMap<NodeId, Attestation>,
 }
 
 impl Follower {
-    /// `tolerance` is by how much clocks may differ, `lease` how long a warrant counts, less twice that tolerance here.
-    pub fn new(tolerance: Span, lease: Span, most_content: usize) -> Self {
-        let (named, candidates) = (Vec::new(), Vec::new());
+    /// `clock_tolerance` is the maximum difference between clocks, and `lease` is how long voters count an
+    /// attestation as valid. A follower relies on an attestation for `lease` less `clock_tolerance` on its
+    /// own clock. Because the clocks may differ, that can be as short as `lease` less twice
+    /// `clock_tolerance`.
+    pub fn new(clock_tolerance: Span, lease: Span, max_content_bytes: usize) -> Self {
+        let (voter_set, candidates) = (Vec::new(), Vec::new());
         Self {
-            tolerance,
+            clock_tolerance,
             lease,
-            most_content,
+            max_content_bytes,
             epoch: 0,
-            named,
-            believed: None,
+            voter_set,
+            confirmed: None,
             candidates,
-            warrants: BTreeMap::new(),
+            attestations: BTreeMap::new(),
         }
     }
 
-    /// The operator's order; one of an earlier epoch says nothing any more.
-    pub fn apply_voter_set(&mut self, epoch: u64, named: &[NodeId]) -> bool {
+    /// Applies the operator's voter set and returns true. A voter set of the same or an earlier epoch is
+    /// ignored.
+    pub fn apply_voter_set(&mut self, epoch: u64, voter_set: &[NodeId]) -> bool {
         if epoch <= self.epoch {
             return false;
         }
-        (self.epoch, self.named) = (epoch, named.to_vec());
-        self.warrants.retain(|name, _| named.contains(name));
+        (self.epoch, self.voter_set) = (epoch, voter_set.to_vec());
+        self.attestations.retain(|node, _| voter_set.contains(node));
         self.candidates.clear();
         true
     }
 
+    /// The latest state that a majority of its voters has attested, in force or not.
     pub fn confirmed(&self) -> Option<&DecidedState> {
-        self.believed.as_ref()
+        self.confirmed.as_ref()
     }
 
-    /// A state, from whomever. It is believed once a majority of its voters, each named by the operator, vouches for it, and
-    /// kept for that only if one of them does already: others can't fill the table.
-    pub fn receive_state(&mut self, agreed: DecidedState) -> FollowerUpdate {
-        let sound = agreed.number.epoch == self.epoch && agreed.proposal.is_valid(self.most_content);
-        let named = agreed.proposal.voters.iter().all(|voter| self.named.contains(&voter.node));
-        // Threat: an epoch that was founded twice; who remembers the first must not take the second for its later states.
+    /// Receives a state from any sender. It is confirmed once a majority of its voters, all of them in the
+    /// voter set, has attested it. Until then it is kept only if at least one of them has attested it, so
+    /// that others can't fill the table.
+    pub fn receive_state(&mut self, state: DecidedState) -> FollowerUpdate {
+        let valid = state.number.epoch == self.epoch && state.proposal.is_valid(self.max_content_bytes);
+        let all_in_voter_set = state.proposal.voters.iter().all(|voter| self.voter_set.contains(&voter.node));
+        // Threat: an epoch that was founded twice. A follower that remembers the first founding must not take
+        // states of the second for later states of the first.
         let follows = |known: &DecidedState| {
-            agreed.number.is_later(known.number) && agreed.number.shares_history_with(known.number)
+            state.number.is_later(known.number) && state.number.shares_history_with(known.number)
         };
-        let later = self.believed.as_ref().is_none_or(follows);
-        if !sound || !named || !later || self.candidates.contains(&agreed) || self.vouchers(&agreed) == 0 {
+        let later = self.confirmed.as_ref().is_none_or(follows);
+        if !valid
+            || !all_in_voter_set
+            || !later
+            || self.candidates.contains(&state)
+            || self.attester_count(&state) == 0
+        {
             return FollowerUpdate::Ignored;
         }
-        if self.candidates.len() >= CANDIDATES {
+        if self.candidates.len() >= MAX_CANDIDATES {
             self.candidates.remove(0);
         }
-        self.candidates.push(agreed);
-        self.settle()
+        self.candidates.push(state);
+        self.confirm_candidate()
     }
 
-    /// A voter's word, whose signature was found good.
-    pub fn receive_attestation(&mut self, now: Moment, name: NodeId, warrant: Attestation) -> FollowerUpdate {
-        let said = Moment::from_micros(warrant.issued_at_us);
-        let ahead = said > now + self.tolerance;
-        let stale = now.since(said) > self.lease + self.tolerance;
-        if warrant.number.epoch != self.epoch || !self.named.contains(&name) || ahead || stale {
+    /// Receives a voter's attestation. The caller has verified its signature.
+    pub fn receive_attestation(
+        &mut self, now: Moment, node: NodeId, attestation: Attestation,
+    ) -> FollowerUpdate {
+        let issued_at = Moment::from_micros(attestation.issued_at_us);
+        let too_far_ahead = issued_at > now + self.clock_tolerance;
+        let stale = now.since(issued_at) > self.lease + self.clock_tolerance;
+        if attestation.number.epoch != self.epoch || !self.voter_set.contains(&node) || too_far_ahead || stale
+        {
             return FollowerUpdate::Ignored;
         }
         let newer = |old: &Attestation| {
-            let same = old.number == warrant.number && old.incarnation == warrant.incarnation;
-            if same {
-                warrant.issued_at_us > old.issued_at_us
+            let same_state = old.number == attestation.number && old.incarnation == attestation.incarnation;
+            if same_state {
+                attestation.issued_at_us > old.issued_at_us
             } else {
-                warrant.number.is_later(old.number) || warrant.issued_at_us > old.issued_at_us
+                attestation.number.is_later(old.number) || attestation.issued_at_us > old.issued_at_us
             }
         };
-        if !self.warrants.get(&name).is_none_or(newer) {
+        if !self.attestations.get(&node).is_none_or(newer) {
             return FollowerUpdate::Ignored;
         }
-        self.warrants.insert(name, warrant);
-        self.settle()
+        self.attestations.insert(node, attestation);
+        self.confirm_candidate()
     }
 
-    /// How many of its voters vouch for a state.
-    fn vouchers(&self, agreed: &DecidedState) -> usize {
-        let digest = agreed.digest();
-        let vouches = |voter: &&Voter| {
-            self.warrants.get(&voter.node).is_some_and(|warrant| {
-                (warrant.incarnation, warrant.number, warrant.digest)
-                    == (voter.incarnation, agreed.number, digest)
+    /// The number of voters of a state that attest it.
+    fn attester_count(&self, state: &DecidedState) -> usize {
+        let digest = state.digest();
+        let attests = |voter: &&Voter| {
+            self.attestations.get(&voter.node).is_some_and(|attestation| {
+                (attestation.incarnation, attestation.number, attestation.digest)
+                    == (voter.incarnation, state.number, digest)
             })
         };
-        agreed.proposal.voters.iter().filter(vouches).count()
+        state.proposal.voters.iter().filter(attests).count()
     }
 
-    fn settle(&mut self) -> FollowerUpdate {
-        let vouched =
-            self.candidates.iter().filter(|agreed| self.vouchers(agreed) >= agreed.proposal.majority());
-        let Some(best) = vouched.max_by_key(|agreed| (agreed.number.epoch, agreed.number.step)).cloned()
+    /// Confirms the latest state that a majority of its voters attests, if there is one among the candidates.
+    fn confirm_candidate(&mut self) -> FollowerUpdate {
+        let attested =
+            self.candidates.iter().filter(|state| self.attester_count(state) >= state.proposal.majority());
+        let Some(latest) = attested.max_by_key(|state| (state.number.epoch, state.number.step)).cloned()
         else {
             return FollowerUpdate::Recorded;
         };
-        let number = best.number;
-        self.believed = Some(best);
-        self.candidates.retain(|agreed| agreed.number.is_later(number));
+        let number = latest.number;
+        self.confirmed = Some(latest);
+        self.candidates.retain(|state| state.number.is_later(number));
         FollowerUpdate::StateAdvanced
     }
 
-    /// Until when the believed state may be acted on, on the own clock; look again right before each act.
+    /// When the lease on the confirmed state ends, on this router's clock. It has to be checked right before
+    /// each action.
     pub fn lease_end(&self) -> Option<Moment> {
-        let agreed = self.believed.as_ref()?;
-        let digest = agreed.digest();
-        let mut said: Vec<Moment> = agreed
+        let state = self.confirmed.as_ref()?;
+        let digest = state.digest();
+        let mut issue_times: Vec<Moment> = state
             .proposal
             .voters
             .iter()
             .filter_map(|voter| {
-                let warrant = self.warrants.get(&voter.node)?;
-                let fits = (warrant.incarnation, warrant.number, warrant.digest)
-                    == (voter.incarnation, agreed.number, digest);
-                fits.then_some(Moment::from_micros(warrant.issued_at_us))
+                let attestation = self.attestations.get(&voter.node)?;
+                let matches = (attestation.incarnation, attestation.number, attestation.digest)
+                    == (voter.incarnation, state.number, digest);
+                matches.then_some(Moment::from_micros(attestation.issued_at_us))
             })
             .collect();
-        said.sort_by(|a, b| b.cmp(a));
-        // As long as the oldest of the freshest majority counts.
-        let oldest = said.get(agreed.proposal.majority() - 1)?;
-        Some(*oldest + self.lease.saturating_sub(self.tolerance))
+        issue_times.sort_by(|a, b| b.cmp(a));
+        // The lease lasts as long as the oldest attestation among those of the most recent majority.
+        let oldest = issue_times.get(state.proposal.majority() - 1)?;
+        Some(*oldest + self.lease.saturating_sub(self.clock_tolerance))
     }
 
     /// The state that may be acted on now.
     pub fn in_force(&self, now: Moment) -> Option<&DecidedState> {
         self.lease_end().filter(|until| now < *until)?;
-        self.believed.as_ref()
+        self.confirmed.as_ref()
     }
 }
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,16 +1,19 @@
-//! Agreement among a few voters on one small state after another, and how everybody else follows it.
+//! Agreement among a few voters on a sequence of small states, and how all other routers follow it.
 //!
-//! Each state has a number that only grows and is decided by a majority of the voters that the state before it names, each
-//! named with its *incarnation*: one start of its process. A voter that was killed and starts from nothing is another incarnation, whose
-//! votes count for nothing until a state names it. So no disk has to last. Losing a majority of lives at once ends in no
-//! further decision, and in the operator's order of a new epoch ([`Node::apply_voter_set`]).
+//! Each state has a growing number and is decided by a majority of the voters that the previous state names.
+//! A voter is named with its *incarnation*: one start of its process. A voter that was killed and starts from
+//! nothing is another incarnation, whose votes don't count until a state names it. So nothing has to be
+//! stored on a disk. If a majority of the incarnations is lost at once, nothing more is decided until the
+//! operator orders a new epoch with a voter set ([`Node::apply_voter_set`]).
 //!
-//! Whoever follows believes a state for as long as a majority of its voters has lately said that it is the latest
-//! ([`Follower`]). That a state is followed nowhere once its second next is decided holds with clocks apart by no more than
-//! the stated tolerance, also through stops of processes: see `docs/design/accord.md`.
+//! A follower takes a state for the latest for as long as a majority of its voters has recently attested that
+//! it is ([`Follower`]). Once the state two steps later is decided, no follower acts on it any more. This
+//! holds if clocks differ by no more than the stated tolerance, also when processes are stopped for a while:
+//! see `docs/design/accord.md`.
 //!
-//! No I/O, clock or thread: [`Node::receive`] and the like take in, [`Node::next_action`] gives out, [`Node::next_deadline`] says when it wants
-//! to be asked again.
+//! The crate does no I/O, reads no clock and starts no thread. [`Node::receive`] and similar methods take
+//! input, [`Node::next_action`] returns what the host has to do, and [`Node::next_deadline`] tells when to
+//! call it again.
 
 pub mod acceptor;
 pub mod follower;
--- a/crates/accord/src/messages.rs
+++ b/crates/accord/src/messages.rs
@@ -1,24 +1,28 @@
-//! What voters say to each other, as bytes. Reading allocates no more than it was given.
+//! The messages between voters and their encoding. The memory that decoding allocates is bounded by the input
+//! length.
 
 use serde::{Deserialize, Serialize};
 
 use crate::state::{Ballot, DecisionRecord, Incarnation, Proposal, StateNumber, Voter};
 
-/// The version of this protocol; words of another are passed over.
+/// The version of this protocol. Messages of other versions are ignored.
 const VERSION: u8 = 1;
 
+/// A message from one voter to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) enum Said {
-    /// This incarnation would vote in an epoch; with the latest that it knows.
+pub(crate) enum Message {
+    /// Offers to vote in an epoch that the sender knows no state of, with the latest state that the sender
+    /// knows.
     Enlist {
         epoch: u64,
-        knows: Option<DecisionRecord>,
+        latest: Option<DecisionRecord>,
     },
-    /// I live; the latest that I know, whom of the voters I hear, and whether I reach a majority both ways.
-    Beat {
-        knows: Option<StateNumber>,
-        hears: Vec<Voter>,
-        fit: bool,
+    /// A heartbeat: the latest state number that the sender knows, the voters from which it receives
+    /// messages, and whether it has two-way contact with a majority.
+    Heartbeat {
+        latest: Option<StateNumber>,
+        receives_from: Vec<Voter>,
+        has_majority: bool,
     },
     Prepare {
         number: StateNumber,
@@ -34,28 +38,32 @@
         ballot: Ballot,
         proposal: Proposal,
     },
-    /// With until when the sender's warrants for the state before may be held, in microseconds of its clock.
+    /// Reports that a proposal was accepted, and until when followers may rely on the sender's attestations
+    /// for the previous state, in microseconds of its clock.
     Accepted {
         number: StateNumber,
         ballot: Ballot,
-        attested_until: u64,
+        attested_until_us: u64,
     },
-    Outbid {
+    /// Rejects a ballot, as the sender has promised a higher one.
+    Reject {
         number: StateNumber,
-        by: Ballot,
+        promised: Ballot,
     },
+    /// Passes on a decided state.
     Learn(DecisionRecord),
 }
 
-pub(crate) fn write(incarnation: Incarnation, said: &Said) -> Vec<u8> {
-    postcard::to_stdvec(&(VERSION, incarnation, said)).unwrap_or_default()
+pub(crate) fn encode(incarnation: Incarnation, message: &Message) -> Vec<u8> {
+    postcard::to_stdvec(&(VERSION, incarnation, message)).unwrap_or_default()
 }
 
-pub(crate) fn read(bytes: &[u8]) -> Option<(Incarnation, Said)> {
+pub(crate) fn decode(bytes: &[u8]) -> Option<(Incarnation, Message)> {
     let (&version, _) = bytes.split_first()?;
     if version != VERSION {
         return None;
     }
-    let ((_, incarnation, said), rest) = postcard::take_from_bytes::<(u8, Incarnation, Said)>(bytes).ok()?;
-    rest.is_empty().then_some((incarnation, said))
+    let ((_, incarnation, message), rest) =
+        postcard::take_from_bytes::<(u8, Incarnation, Message)>(bytes).ok()?;
+    rest.is_empty().then_some((incarnation, message))
 }
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -1,4 +1,5 @@
-//! One router's part in the agreement: it enlists, votes, proposes, finds out who lives, and brings those behind up to date.
+//! One router's part in the agreement: it offers its vote, votes, proposes, detects which voters are gone,
+//! and sends the latest state to voters that are behind.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,51 +9,54 @@
 
 use crate::acceptor::{Acceptor, VoteRefusal};
 use crate::follower::Attestation;
-use crate::messages::{Said, read, write};
+use crate::messages::{Message, decode, encode};
 use crate::proposer::Proposer;
 use crate::state::{
     Ballot, DecidedState, DecisionRecord, Incarnation, MAX_VOTERS, NodeId, Proposal, StateNumber, Voter,
-    micros,
+    unix_micros,
 };
 
-/// Periods without a word after which a voter counts as gone, and after which a majority counts as lost.
-const GONE_PERIODS: f64 = 4.0;
-/// Periods for the answers to a bid, before those that did not answer are asked again; doubled with each bid that failed.
-const BID_PERIODS: f64 = 2.0;
-const DOUBLINGS: u32 = 4;
-/// So often they are asked, before the bid is given up.
-const ASKED: u32 = 3;
-/// Warrants are given so often in a lease.
-const WARRANTS_A_LEASE: f64 = 4.0;
-
-/// How often and how long, and how much.
+/// Heartbeat periods without a message after which a voter counts as gone, and after which a majority counts
+/// as lost.
+const VOTER_GONE_AFTER_PERIODS: f64 = 4.0;
+/// Heartbeat periods to wait for the answers to a ballot before the request is sent again to the voters that
+/// did not answer. The wait doubles with each ballot that fails.
+const ANSWER_TIMEOUT_PERIODS: f64 = 2.0;
+/// The maximum number of times that the answer timeout doubles.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
+/// The maximum number of times that a ballot's request is sent before the ballot is abandoned.
+const MAX_REQUEST_ATTEMPTS: u32 = 3;
+/// Attestations issued in the time for which one is valid.
+const ATTESTATIONS_PER_LEASE: f64 = 4.0;
+
+/// The periods, tolerances and limits of the agreement.
 #[derive(Clone, Copy, Debug)]
 pub struct AccordConfig {
-    /// Between two words of a voter to the others.
+    /// The time between two heartbeats of a voter.
     pub heartbeat_period: Span,
-    /// How long a warrant counts.
+    /// How long an attestation is valid.
     pub lease: Span,
-    /// By how much clocks may differ.
+    /// The maximum difference between the clocks of routers.
     pub clock_tolerance: Span,
-    /// The longest content, in bytes.
+    /// The maximum length of a content in bytes.
     pub max_content_bytes: usize,
 }
 
-/// What happened, under a stable name for log lines.
+/// Events that the host logs, each under a stable name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     Enlisted,
     Founded,
     Decided,
-    /// Another proposal was decided in place of the own one.
+    /// Another proposal was decided instead of this node's.
     Overtaken,
     VoterGone,
     VoterBack,
-    /// This start is none of the lives that vote; it has to be named first.
+    /// This incarnation is not one of the voters: a state has to name it before it votes.
     Forgotten,
     MajorityLost,
     MajorityBack,
-    /// Two foundings of one epoch: the operator has to order another one.
+    /// The epoch was founded twice: the operator has to order another epoch.
     TwoFoundings,
 }
 
@@ -73,103 +77,109 @@
     }
 }
 
-/// What the host is to do next.
+/// What the host has to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// To one other, whom the host knows by that name and who has to know that it comes from here.
+    /// Sends bytes to the router `to`, whose address the host knows. The receiver must be able to verify that
+    /// this node sent them.
     Send { to: NodeId, bytes: Vec<u8> },
-    /// To be signed and told to all, with the state that it vouches for.
+    /// Signs the attestation and sends it to all routers, with the state that it attests to.
     Attest(Attestation, DecidedState),
-    /// A state was decided, or learned of.
+    /// A state was decided, or a decided state was learned.
     Decided(DecidedState),
-    /// Worth a log line.
+    /// Writes a log line.
     Event { kind: EventKind, voter: Option<NodeId>, number: Option<StateNumber> },
 }
 
-/// Why nothing is proposed.
+/// Why a proposal was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
     /// This incarnation has no vote.
     NotAVoter,
-    /// Another state than the one that it was meant to follow is the latest.
+    /// The latest state is not the one that the proposal was meant to follow.
     StateChanged,
-    /// Longer than allowed.
+    /// The content is longer than allowed.
     ContentTooLong,
-    /// A proposal of this node is under way.
+    /// Another proposal of this node is under way.
     ProposalPending,
 }
 
-/// What was last heard of another named voter.
+/// What this node knows of another router of the voter set from its last messages.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerStatus {
     incarnation: Incarnation,
-    at: Moment,
+    received_at: Moment,
     gone: bool,
-    /// Whether it hears this node, and whether it reaches a majority both ways, as it last said.
-    hears_me: bool,
-    fit: bool,
+    /// Whether it receives messages of this node, and whether it has two-way contact with a majority, as of
+    /// its last heartbeat.
+    receives_from_me: bool,
+    has_majority: bool,
 }
 
-/// A bid that is out.
-struct Bid {
+/// The ballot of this node that is under way.
+struct ActiveBallot {
     proposer: Proposer,
-    due: Moment,
-    asked: u32,
+    retry_at: Moment,
+    attempts: u32,
 }
 
+/// The state machine of one router that votes and proposes.
 pub struct Node {
     me: Voter,
-    pace: AccordConfig,
-    chance: Pcg32,
+    config: AccordConfig,
+    rng: Pcg32,
     acceptor: Acceptor,
     epoch: u64,
-    /// Whom the operator's order names, by name.
-    named: Vec<NodeId>,
-    /// By name, as many lines as are named.
-    heard: BTreeMap<NodeId, Heard>,
-    /// Who would vote in an epoch that is not founded, with what each knows; as many lines as are named.
+    /// The routers that the operator's voter set names, sorted.
+    voter_set: Vec<NodeId>,
+    /// At most one entry for each router of the voter set.
+    peers: BTreeMap<NodeId, PeerStatus>,
+    /// The routers that offer to vote in an epoch that is not founded yet, each with its incarnation and
+    /// the latest state that it knows; at most one entry for each router of the voter set.
     enlisted: BTreeMap<NodeId, (Incarnation, Option<DecisionRecord>)>,
-    bid: Option<Bid>,
-    /// What the host wants decided, and behind which state.
-    want: Option<(StateNumber, Vec<u8>)>,
-    round: u64,
-    /// Bids in a row that came to nothing, and when the next may be made.
-    failed: u32,
-    bid_at: Moment,
-    beat_at: Moment,
-    warrant_at: Moment,
-    lost: bool,
-    forgotten_told: bool,
-    two_told: bool,
-    /// Emptied as the host pulls; each input adds a few at most.
-    todo: VecDeque<Action>,
+    active_ballot: Option<ActiveBallot>,
+    /// The content that the host wants decided, and the number of the state that it is meant to follow.
+    wanted_content: Option<(StateNumber, Vec<u8>)>,
+    /// The highest ballot round that this node has seen or used.
+    highest_round: u64,
+    /// The number of consecutive ballots that failed, at most [`MAX_TIMEOUT_DOUBLINGS`], and when the next
+    /// one may start.
+    failed_ballots: u32,
+    next_ballot_at: Moment,
+    next_heartbeat_at: Moment,
+    next_attestation_at: Moment,
+    majority_lost: bool,
+    forgotten_reported: bool,
+    two_foundings_reported: bool,
+    /// Pending actions, which the host takes out one by one. Each input adds a few at most.
+    actions: VecDeque<Action>,
 }
 
 impl Node {
-    /// `incarnation` is drawn by the host, anew at each start.
-    pub fn new(now: Moment, seed: u64, me: Voter, pace: AccordConfig) -> Self {
-        let mut chance = Pcg32::seed_from_u64(seed);
-        let first = now + pace.heartbeat_period.mul_f64(chance.random::<f64>());
+    /// The host draws the incarnation of `me` anew at each start.
+    pub fn new(now: Moment, seed: u64, me: Voter, config: AccordConfig) -> Self {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let first_timer = now + config.heartbeat_period.mul_f64(rng.random::<f64>());
         Self {
             me,
-            pace,
-            chance,
-            acceptor: Acceptor::new(me, pace.clock_tolerance, pace.lease),
+            config,
+            rng,
+            acceptor: Acceptor::new(me, config.clock_tolerance, config.lease),
             epoch: 0,
-            named: Vec::new(),
-            heard: BTreeMap::new(),
+            voter_set: Vec::new(),
+            peers: BTreeMap::new(),
             enlisted: BTreeMap::new(),
-            bid: None,
-            want: None,
-            round: 0,
-            failed: 0,
-            bid_at: now,
-            beat_at: first,
-            warrant_at: first,
-            lost: false,
-            forgotten_told: false,
-            two_told: false,
-            todo: VecDeque::new(),
+            active_ballot: None,
+            wanted_content: None,
+            highest_round: 0,
+            failed_ballots: 0,
+            next_ballot_at: now,
+            next_heartbeat_at: first_timer,
+            next_attestation_at: first_timer,
+            majority_lost: false,
+            forgotten_reported: false,
+            two_foundings_reported: false,
+            actions: VecDeque::new(),
         }
     }
 
@@ -177,77 +187,83 @@
         self.me
     }
 
-    /// The latest decided state that this node knows, in force or not.
+    /// The latest decided state that this node knows, whether or not it is in force.
     pub fn latest(&self) -> Option<&DecidedState> {
-        self.acceptor.latest().map(|settled| &settled.state)
+        self.acceptor.latest().map(|record| &record.state)
     }
 
     pub fn is_voter(&self) -> bool {
         self.acceptor.is_voter()
     }
 
-    /// The operator's order: who votes in an epoch, one to seven. One of an epoch that is over says nothing; within the epoch
-    /// the voters themselves change who they are, as far as the order names them.
-    pub fn apply_voter_set(&mut self, now: Moment, epoch: u64, named: &[NodeId]) {
-        if epoch < self.epoch || named.is_empty() || named.len() > MAX_VOTERS {
+    /// Applies the operator's voter set of an epoch, which has one to [`MAX_VOTERS`] routers. A voter set of
+    /// an earlier epoch is ignored. Within the epoch the voters themselves decide which routers of the set
+    /// vote, and in which incarnation.
+    pub fn apply_voter_set(&mut self, now: Moment, epoch: u64, voter_set: &[NodeId]) {
+        if epoch < self.epoch || voter_set.is_empty() || voter_set.len() > MAX_VOTERS {
             return;
         }
         if epoch > self.epoch {
             self.epoch = epoch;
-            (self.bid, self.want, self.lost, self.forgotten_told) = (None, None, false, false);
-            self.two_told = false;
+            (self.active_ballot, self.wanted_content, self.majority_lost, self.forgotten_reported) =
+                (None, None, false, false);
+            self.two_foundings_reported = false;
             self.enlisted.clear();
         }
-        self.named = named.to_vec();
-        self.named.sort();
-        self.named.dedup();
-        self.heard.retain(|name, _| self.named.contains(name));
-        self.beat_at = now;
+        self.voter_set = voter_set.to_vec();
+        self.voter_set.sort();
+        self.voter_set.dedup();
+        self.peers.retain(|node, _| self.voter_set.contains(node));
+        self.next_heartbeat_at = now;
     }
 
-    /// The order of an epoch does not name this node: it has no part in it.
+    /// Applies a voter set that does not contain this node, which then has no part in the epoch.
     pub fn exclude_from_epoch(&mut self, epoch: u64) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.named.clear();
-            self.heard.clear();
+            self.voter_set.clear();
+            self.peers.clear();
             self.enlisted.clear();
-            (self.bid, self.want, self.lost) = (None, None, false);
+            (self.active_ballot, self.wanted_content, self.majority_lost) = (None, None, false);
         }
     }
 
-    /// Whether this node is the one that proposes, as far as it sees: the first of the voters that live and reach a majority
-    /// both ways. Threat: a first voter that hears all and is heard by few, or the reverse, would keep all others from it.
+    /// Whether this node is the one that should propose, as far as it can tell: the first, in the order of
+    /// node ids, of the live voters that have two-way contact with a majority. Threat: a first voter that
+    /// receives from all and is received by few, or the reverse, would keep all others from proposing.
     pub fn is_designated_proposer(&self, now: Moment) -> bool {
-        let Some(agreed) = self.latest().filter(|_| self.fit(now)) else { return false };
-        let mut before = agreed.proposal.voters.iter().take_while(|voter| voter.node < self.me.node);
-        before.all(|voter| {
-            !self.lives(now, *voter) || !self.heard.get(&voter.node).is_some_and(|heard| heard.fit)
+        let Some(state) = self.latest().filter(|_| self.has_majority_contact(now)) else { return false };
+        let mut earlier_voters = state.proposal.voters.iter().take_while(|voter| voter.node < self.me.node);
+        earlier_voters.all(|voter| {
+            !self.is_alive(now, *voter) || !self.peers.get(&voter.node).is_some_and(|peer| peer.has_majority)
         })
     }
 
-    /// Whether a majority of the voters hears this one and is heard by it.
-    fn fit(&self, now: Moment) -> bool {
-        let Some(agreed) = self.latest().filter(|_| self.is_voter()) else { return false };
-        let both = |voter: &&Voter| {
-            let hears_me = || self.heard.get(&voter.node).is_some_and(|heard| heard.hears_me);
-            **voter == self.me || (self.lives(now, **voter) && hears_me())
+    /// Whether this node is a voter and has two-way contact with a majority of the voters, itself included.
+    fn has_majority_contact(&self, now: Moment) -> bool {
+        let Some(state) = self.latest().filter(|_| self.is_voter()) else { return false };
+        let two_way = |voter: &&Voter| {
+            let receives_from_me = || self.peers.get(&voter.node).is_some_and(|peer| peer.receives_from_me);
+            **voter == self.me || (self.is_alive(now, **voter) && receives_from_me())
         };
-        agreed.proposal.voters.iter().filter(both).count() >= agreed.proposal.majority()
+        state.proposal.voters.iter().filter(two_way).count() >= state.proposal.majority()
     }
 
-    fn lives(&self, now: Moment, voter: Voter) -> bool {
-        let recent = |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
+    fn is_alive(&self, now: Moment, voter: Voter) -> bool {
+        let recent = |peer: &&PeerStatus| {
+            now.since(peer.received_at) < self.config.heartbeat_period.mul_f64(VOTER_GONE_AFTER_PERIODS)
+        };
         voter == self.me
             || self
-                .heard
+                .peers
                 .get(&voter.node)
                 .filter(recent)
-                .is_some_and(|heard| heard.incarnation == voter.incarnation)
+                .is_some_and(|peer| peer.incarnation == voter.incarnation)
     }
 
-    /// Wants `content` decided as what follows `after`. What comes of it is [`Action::Decided`]; where another proposal came
-    /// first, [`EventKind::Overtaken`] says so, and the host looks again at what it wants.
+    /// Asks for `content` to be decided as the state that follows `after`. A decision is reported as
+    /// [`Action::Decided`]. If another proposal is decided first, [`EventKind::Overtaken`] reports it, and
+    /// the host has to reconsider what it wants.
     pub fn propose(&mut self, now: Moment, after: StateNumber, content: Vec<u8>) -> Result<(), ProposeError> {
         let Some(latest) = self.latest().filter(|_| self.is_voter()) else {
             return Err(ProposeError::NotAVoter);
@@ -255,212 +271,238 @@
         if latest.number != after {
             return Err(ProposeError::StateChanged);
         }
-        if content.len() > self.pace.max_content_bytes {
+        if content.len() > self.config.max_content_bytes {
             return Err(ProposeError::ContentTooLong);
         }
-        if self.want.is_some() {
+        if self.wanted_content.is_some() {
             return Err(ProposeError::ProposalPending);
         }
-        self.want = Some((after, content));
-        self.bid_at = self.bid_at.min(now);
+        self.wanted_content = Some((after, content));
+        self.next_ballot_at = self.next_ballot_at.min(now);
         Ok(())
     }
 
-    /// A word from another, whom the host knows to be `from`.
+    /// Receives a message from another router, which the host has authenticated as `from`.
     pub fn receive(&mut self, now: Moment, from: NodeId, bytes: &[u8]) {
-        if from == self.me.node || !self.named.contains(&from) {
+        if from == self.me.node || !self.voter_set.contains(&from) {
             return;
         }
-        let Some((incarnation, said)) = read(bytes) else { return };
+        let Some((incarnation, message)) = decode(bytes) else { return };
         let voter = Voter { node: from, incarnation };
-        if !self.lives_on(now, voter) {
+        if !self.record_contact(now, voter) {
             return;
         }
-        match said {
-            Said::Enlist { epoch, knows } => self.enlist(now, voter, epoch, knows),
-            Said::Beat { knows, hears, fit } => {
-                if let Some(heard) = self.heard.get_mut(&from) {
-                    (heard.hears_me, heard.fit) = (hears.contains(&self.me), fit);
+        match message {
+            Message::Enlist { epoch, latest } => self.handle_enlist(now, voter, epoch, latest),
+            Message::Heartbeat { latest, receives_from, has_majority } => {
+                if let Some(peer) = self.peers.get_mut(&from) {
+                    (peer.receives_from_me, peer.has_majority) =
+                        (receives_from.contains(&self.me), has_majority);
                 }
-                self.bring_up_to_date(voter, knows);
+                self.send_latest_if_behind(voter, latest);
             }
-            Said::Prepare { number, ballot } => self.asked(now, voter, number, ballot, None),
-            Said::Accept { number, ballot, proposal } => {
-                if proposal.is_valid(self.pace.max_content_bytes) {
-                    self.asked(now, voter, number, ballot, Some(proposal));
+            Message::Prepare { number, ballot } => self.handle_request(now, voter, number, ballot, None),
+            Message::Accept { number, ballot, proposal } => {
+                if proposal.is_valid(self.config.max_content_bytes) {
+                    self.handle_request(now, voter, number, ballot, Some(proposal));
                 }
             }
-            Said::Promise { number, ballot, accepted } => self.promised(now, voter, number, ballot, accepted),
-            Said::Accepted { number, ballot, attested_until } => {
-                self.accepted(now, voter, number, ballot, Moment::from_micros(attested_until));
+            Message::Promise { number, ballot, accepted } => {
+                self.handle_promise(now, voter, number, ballot, accepted)
+            }
+            Message::Accepted { number, ballot, attested_until_us } => {
+                self.handle_accepted(now, voter, number, ballot, Moment::from_micros(attested_until_us));
             }
-            Said::Outbid { number, by } => {
-                let own = self.bid.as_ref().map(|bid| (bid.proposer.number, bid.proposer.ballot));
-                if own.is_some_and(|(own, ballot)| own == number && ballot < by) {
-                    self.round = self.round.max(by.round);
-                    self.give_up_bid(now);
+            Message::Reject { number, promised } => {
+                let own = self
+                    .active_ballot
+                    .as_ref()
+                    .map(|active| (active.proposer.number, active.proposer.ballot));
+                if own.is_some_and(|(own, ballot)| own == number && ballot < promised) {
+                    self.highest_round = self.highest_round.max(promised.round);
+                    self.abandon_ballot(now);
                 }
             }
-            Said::Learn(settled) => self.learn(now, settled),
+            Message::Learn(record) => self.learn(now, record),
         }
     }
 
-    /// Lives are drawn so that later starts are greater. What an earlier one said may still come in late, and counts for
-    /// nothing while the later one lives; a clock that went back at a start is waited out.
-    fn lives_on(&mut self, now: Moment, voter: Voter) -> bool {
-        let old = self.heard.get(&voter.node);
-        let gone_after = self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
-        if old.is_some_and(|old| old.incarnation > voter.incarnation && now.since(old.at) < gone_after) {
+    /// Records that a message came from a voter. Returns false if it is to be ignored, as a later incarnation
+    /// of the voter is alive: messages of an earlier one may still arrive late. Later starts have greater
+    /// incarnations. After a start at which the clock went back, the smaller incarnation is ignored until the
+    /// old one counts as gone.
+    fn record_contact(&mut self, now: Moment, voter: Voter) -> bool {
+        let old = self.peers.get(&voter.node);
+        let gone_after = self.config.heartbeat_period.mul_f64(VOTER_GONE_AFTER_PERIODS);
+        if old
+            .is_some_and(|old| old.incarnation > voter.incarnation && now.since(old.received_at) < gone_after)
+        {
             return false;
         }
         let same = old.filter(|old| old.incarnation == voter.incarnation);
-        let (hears_me, fit) = same.map_or((false, false), |old| (old.hears_me, old.fit));
-        let new = Heard { incarnation: voter.incarnation, at: now, gone: false, hears_me, fit };
-        let old = self.heard.insert(voter.node, new);
+        let (receives_from_me, has_majority) =
+            same.map_or((false, false), |old| (old.receives_from_me, old.has_majority));
+        let new = PeerStatus {
+            incarnation: voter.incarnation,
+            received_at: now,
+            gone: false,
+            receives_from_me,
+            has_majority,
+        };
+        let old = self.peers.insert(voter.node, new);
         if old.is_some_and(|old| old.gone) {
-            self.event(EventKind::VoterBack, Some(voter.node));
+            self.push_event(EventKind::VoterBack, Some(voter.node));
         }
         true
     }
 
-    fn event(&mut self, kind: EventKind, voter: Option<NodeId>) {
-        let number = self.latest().map(|agreed| agreed.number);
-        self.todo.push_back(Action::Event { kind, voter, number });
+    fn push_event(&mut self, kind: EventKind, voter: Option<NodeId>) {
+        let number = self.latest().map(|state| state.number);
+        self.actions.push_back(Action::Event { kind, voter, number });
     }
 
-    /// Said once an epoch: each word of a voter of the other founding would say it again.
-    fn two_foundings(&mut self, voter: Option<NodeId>) {
-        if !std::mem::replace(&mut self.two_told, true) {
-            self.event(EventKind::TwoFoundings, voter);
+    /// Reports the second founding once per epoch, as each message of a voter of the other founding would
+    /// report it again.
+    fn report_two_foundings(&mut self, voter: Option<NodeId>) {
+        if !std::mem::replace(&mut self.two_foundings_reported, true) {
+            self.push_event(EventKind::TwoFoundings, voter);
         }
     }
 
-    fn send(&mut self, to: NodeId, said: &Said) {
-        self.todo.push_back(Action::Send { to, bytes: write(self.me.incarnation, said) });
+    fn send(&mut self, to: NodeId, message: &Message) {
+        self.actions.push_back(Action::Send { to, bytes: encode(self.me.incarnation, message) });
     }
 
-    /// Who is behind is told the latest state; who is ahead will tell it.
-    fn bring_up_to_date(&mut self, voter: Voter, knows: Option<StateNumber>) {
-        let Some(settled) = self.acceptor.latest() else { return };
-        let own = settled.state.number;
-        if knows.is_some_and(|knows| !knows.shares_history_with(own)) {
-            self.two_foundings(Some(voter.node));
-        } else if knows.is_none_or(|knows| own.is_later(knows)) {
-            self.send(voter.node, &Said::Learn(settled.clone()));
+    /// Sends the latest state to a voter that is behind. A voter that is ahead will send its own.
+    fn send_latest_if_behind(&mut self, voter: Voter, latest: Option<StateNumber>) {
+        let Some(record) = self.acceptor.latest() else { return };
+        let own = record.state.number;
+        if latest.is_some_and(|latest| !latest.shares_history_with(own)) {
+            self.report_two_foundings(Some(voter.node));
+        } else if latest.is_none_or(|latest| own.is_later(latest)) {
+            self.send(voter.node, &Message::Learn(record.clone()));
         }
     }
 
-    /// Another incarnation offers its vote. Where the epoch has a state, it is told of it and named by the next one. Where it has
-    /// none, the first of the named founds it once all of them know of none: not one less, as that one might remember.
-    fn enlist(&mut self, now: Moment, voter: Voter, epoch: u64, knows: Option<DecisionRecord>) {
+    /// Handles the offer of a router to vote. If the epoch has a state, the router is sent the latest one,
+    /// and the next state will name it. If the epoch has none, the first router of the voter set founds it,
+    /// once every router of the set has reported that it knows of none. It waits for every one of them, as a
+    /// missing one might know of a state.
+    fn handle_enlist(&mut self, now: Moment, voter: Voter, epoch: u64, latest: Option<DecisionRecord>) {
         if epoch != self.epoch {
             return;
         }
-        if self.founded() {
-            return self.bring_up_to_date(voter, knows.map(|known| known.state.number));
+        if self.is_epoch_founded() {
+            return self.send_latest_if_behind(voter, latest.map(|known| known.state.number));
         }
-        if let Some(settled) = &knows
-            && settled.state.number.epoch == epoch
+        if let Some(record) = &latest
+            && record.state.number.epoch == epoch
         {
-            return self.learn(now, settled.clone());
+            return self.learn(now, record.clone());
         }
-        // What could not be founded on would keep the epoch from being founded at all.
-        let knows = knows.filter(|known| known.state.proposal.is_valid(self.pace.max_content_bytes));
-        self.enlisted.insert(voter.node, (voter.incarnation, knows));
-        self.found(now);
+        // An invalid state that was taken as the base would keep the epoch from being founded at all.
+        let latest = latest.filter(|known| known.state.proposal.is_valid(self.config.max_content_bytes));
+        self.enlisted.insert(voter.node, (voter.incarnation, latest));
+        self.found_epoch(now);
     }
 
-    fn founded(&self) -> bool {
-        self.latest().is_some_and(|agreed| agreed.number.epoch == self.epoch)
+    fn is_epoch_founded(&self) -> bool {
+        self.latest().is_some_and(|state| state.number.epoch == self.epoch)
     }
 
-    /// The content of the latest earlier epoch that any of them knows is carried on.
-    fn found(&mut self, now: Moment) {
-        let all = self.named.iter().all(|name| *name == self.me.node || self.enlisted.contains_key(name));
-        if self.named.first() != Some(&self.me.node) || self.founded() || !all {
+    /// Founds the epoch if this node is the first router of the voter set and all others have enlisted. The
+    /// epoch continues with the content of the latest state of an earlier epoch that any of them knows.
+    fn found_epoch(&mut self, now: Moment) {
+        let all_enlisted =
+            self.voter_set.iter().all(|node| *node == self.me.node || self.enlisted.contains_key(node));
+        if self.voter_set.first() != Some(&self.me.node) || self.is_epoch_founded() || !all_enlisted {
             return;
         }
-        let voter = |name: &NodeId| {
+        let voter = |node: &NodeId| {
             let incarnation =
-                self.enlisted.get(name).map_or(self.me.incarnation, |(incarnation, _)| *incarnation);
-            Voter { node: *name, incarnation }
+                self.enlisted.get(node).map_or(self.me.incarnation, |(incarnation, _)| *incarnation);
+            Voter { node: *node, incarnation }
         };
-        let voters: Vec<Voter> = self.named.iter().map(voter).collect();
-        let known = self.enlisted.values().filter_map(|(_, knows)| knows.as_ref());
+        let voters: Vec<Voter> = self.voter_set.iter().map(voter).collect();
+        let known = self.enlisted.values().filter_map(|(_, latest)| latest.as_ref());
         let latest = known.chain(self.acceptor.latest()).max_by_key(|known| {
             let number = known.state.number;
             (number.epoch, number.step)
         });
         let content = latest.map(|known| known.state.proposal.content.clone()).unwrap_or_default();
-        let founding = self.chance.random();
-        let number = StateNumber { epoch: self.epoch, step: 0, founding_id: founding };
-        let agreed = DecidedState { number, proposal: Proposal { voters, content } };
-        // Warrants of the epoch before may be held for so long.
-        let clear = micros(now + self.pace.lease + self.pace.clock_tolerance);
-        self.event(EventKind::Founded, None);
-        self.learn(now, DecisionRecord { state: agreed, previous_lease_end_us: clear });
-        self.tell_all();
+        let founding_id = self.rng.random();
+        let number = StateNumber { epoch: self.epoch, step: 0, founding_id };
+        let state = DecidedState { number, proposal: Proposal { voters, content } };
+        // Followers may rely on attestations of the previous epoch until then.
+        let lease_end = unix_micros(now + self.config.lease + self.config.clock_tolerance);
+        self.push_event(EventKind::Founded, None);
+        self.learn(now, DecisionRecord { state, previous_lease_end_us: lease_end });
+        self.broadcast_latest();
     }
 
-    /// The other named.
-    fn others(&self) -> Vec<NodeId> {
-        self.named.iter().copied().filter(|name| *name != self.me.node).collect()
+    /// The routers of the voter set without this one.
+    fn other_nodes(&self) -> Vec<NodeId> {
+        self.voter_set.iter().copied().filter(|node| *node != self.me.node).collect()
     }
 
-    fn tell_all(&mut self) {
-        let Some(settled) = self.acceptor.latest().cloned() else { return };
-        for name in self.others() {
-            self.send(name, &Said::Learn(settled.clone()));
+    fn broadcast_latest(&mut self) {
+        let Some(record) = self.acceptor.latest().cloned() else { return };
+        for node in self.other_nodes() {
+            self.send(node, &Message::Learn(record.clone()));
         }
     }
 
-    /// Takes in a decided state, from a voter or from what all routers tell each other.
-    pub fn learn(&mut self, now: Moment, settled: DecisionRecord) {
-        let number = settled.state.number;
-        let sound = settled.state.proposal.is_valid(self.pace.max_content_bytes);
-        // Threat: a clock far ahead in a clear time would hold up all further votes.
-        let longest = micros(now + (self.pace.lease + self.pace.clock_tolerance).mul_f64(2.0));
-        // Only the operator's order begins an epoch; a state of one that is not ordered here yet comes again.
-        if number.epoch != self.epoch || !sound || settled.previous_lease_end_us > longest {
+    /// Receives a decided state, from a voter or from the messages that all routers exchange.
+    pub fn learn(&mut self, now: Moment, record: DecisionRecord) {
+        let number = record.state.number;
+        let valid = record.state.proposal.is_valid(self.config.max_content_bytes);
+        // Threat: a `previous_lease_end_us` from a clock that is far ahead would hold up all further votes.
+        let max_lease_end = unix_micros(now + (self.config.lease + self.config.clock_tolerance).mul_f64(2.0));
+        // Only the operator's voter set begins an epoch. A state of an epoch whose voter set has not arrived
+        // here yet is sent again later.
+        if number.epoch != self.epoch || !valid || record.previous_lease_end_us > max_lease_end {
             return;
         }
         if self.latest().is_some_and(|known| !known.number.shares_history_with(number)) {
-            return self.two_foundings(None);
+            return self.report_two_foundings(None);
         }
-        let agreed = settled.state.clone();
-        if !self.acceptor.learn(settled) {
+        let state = record.state.clone();
+        if !self.acceptor.learn(record) {
             return;
         }
         self.enlisted.clear();
-        self.failed = 0;
-        let overtaken = self.want.as_ref().is_some_and(|(_, content)| *content != agreed.proposal.content);
-        // A change of voters alone leaves the content, and what was wanted is to be looked at again.
-        if self.want.take().is_some() && overtaken {
-            self.event(EventKind::Overtaken, None);
-        }
-        self.bid = None;
-        (self.bid_at, self.warrant_at) = (now, now);
-        self.todo.push_back(Action::Decided(agreed.clone()));
-        self.event(EventKind::Decided, None);
+        self.failed_ballots = 0;
+        let overtaken =
+            self.wanted_content.as_ref().is_some_and(|(_, content)| *content != state.proposal.content);
+        // This includes a state that only changes the voters and keeps the content: the host has to
+        // reconsider what it wants.
+        if self.wanted_content.take().is_some() && overtaken {
+            self.push_event(EventKind::Overtaken, None);
+        }
+        self.active_ballot = None;
+        (self.next_ballot_at, self.next_attestation_at) = (now, now);
+        self.actions.push_back(Action::Decided(state.clone()));
+        self.push_event(EventKind::Decided, None);
         if !self.is_voter()
-            && self.named.contains(&self.me.node)
-            && !std::mem::replace(&mut self.forgotten_told, true)
+            && self.voter_set.contains(&self.me.node)
+            && !std::mem::replace(&mut self.forgotten_reported, true)
         {
-            self.event(EventKind::Forgotten, None);
+            self.push_event(EventKind::Forgotten, None);
         }
     }
 
-    /// A proposer asks for a promise, or to have its proposal accepted.
-    fn asked(
-        &mut self, now: Moment, by: Voter, number: StateNumber, ballot: Ballot, proposal: Option<Proposal>,
+    /// Handles a proposer's request for a promise or, with a proposal, for acceptance.
+    fn handle_request(
+        &mut self, now: Moment, proposer: Voter, number: StateNumber, ballot: Ballot,
+        proposal: Option<Proposal>,
     ) {
-        // Who heard of a later epoch votes in no earlier one.
-        if ballot.by != by || number.epoch != self.epoch {
+        // A voter that knows of a later epoch votes in no earlier one.
+        if ballot.proposer != proposer || number.epoch != self.epoch {
             return;
         }
-        self.round = self.round.max(ballot.round);
-        let said = match proposal {
-            None => self.acceptor.prepare(now, number, ballot).map(|accepted| Said::Promise {
+        self.highest_round = self.highest_round.max(ballot.round);
+        let message = match proposal {
+            None => self.acceptor.prepare(now, number, ballot).map(|accepted| Message::Promise {
                 number,
                 ballot,
                 accepted,
@@ -468,227 +510,246 @@
             Some(proposal) => self
                 .acceptor
                 .accept(now, number, ballot, proposal)
-                .map(|until| Said::Accepted { number, ballot, attested_until: micros(until) }),
+                .map(|until| Message::Accepted { number, ballot, attested_until_us: unix_micros(until) }),
         };
-        match said {
-            Ok(said) => self.send(by.node, &said),
-            Err(VoteRefusal::HigherBallot(by_whom)) => {
-                self.send(by.node, &Said::Outbid { number, by: by_whom })
+        match message {
+            Ok(message) => self.send(proposer.node, &message),
+            Err(VoteRefusal::HigherBallot(promised)) => {
+                self.send(proposer.node, &Message::Reject { number, promised })
             }
             Err(VoteRefusal::OtherNumber) => {
                 let behind = self.latest().is_some_and(|own| !number.is_later(own.number));
-                if let Some(settled) = self.acceptor.latest().filter(|_| behind).cloned() {
-                    self.send(by.node, &Said::Learn(settled));
+                if let Some(record) = self.acceptor.latest().filter(|_| behind).cloned() {
+                    self.send(proposer.node, &Message::Learn(record));
                 }
             }
             Err(VoteRefusal::NotAVoter | VoteRefusal::PreviousLeaseActive) => {}
         }
     }
 
-    fn promised(
+    fn handle_promise(
         &mut self, now: Moment, voter: Voter, number: StateNumber, ballot: Ballot,
         accepted: Option<(Ballot, Proposal)>,
     ) {
-        let sound =
-            accepted.as_ref().is_none_or(|(_, proposal)| proposal.is_valid(self.pace.max_content_bytes));
-        let own = self.bid.as_mut().map(|bid| &mut bid.proposer);
-        let Some(bid) = own.filter(|bid| bid.number == number && sound) else { return };
-        let Some(proposal) = bid.receive_promise(voter, ballot, accepted) else { return };
-        let others: Vec<Voter> = bid.voters().iter().copied().filter(|voter| *voter != self.me).collect();
+        let valid =
+            accepted.as_ref().is_none_or(|(_, proposal)| proposal.is_valid(self.config.max_content_bytes));
+        let own = self.active_ballot.as_mut().map(|active| &mut active.proposer);
+        let Some(proposer) = own.filter(|proposer| proposer.number == number && valid) else { return };
+        let Some(proposal) = proposer.receive_promise(voter, ballot, accepted) else { return };
+        let others: Vec<Voter> =
+            proposer.voters().iter().copied().filter(|voter| *voter != self.me).collect();
         for other in others {
-            self.send(other.node, &Said::Accept { number, ballot, proposal: proposal.clone() });
+            self.send(other.node, &Message::Accept { number, ballot, proposal: proposal.clone() });
         }
         if let Ok(until) = self.acceptor.accept(now, number, ballot, proposal) {
-            self.accepted(now, self.me, number, ballot, until);
+            self.handle_accepted(now, self.me, number, ballot, until);
         }
     }
 
-    fn accepted(&mut self, now: Moment, voter: Voter, number: StateNumber, ballot: Ballot, until: Moment) {
-        let own = self.bid.as_mut().map(|bid| &mut bid.proposer);
-        let Some(bid) = own.filter(|bid| bid.number == number) else { return };
-        if let Some(settled) = bid.receive_accepted(voter, ballot, until) {
-            self.learn(now, settled);
-            self.tell_all();
+    fn handle_accepted(
+        &mut self, now: Moment, voter: Voter, number: StateNumber, ballot: Ballot, until: Moment,
+    ) {
+        let own = self.active_ballot.as_mut().map(|active| &mut active.proposer);
+        let Some(proposer) = own.filter(|proposer| proposer.number == number) else { return };
+        if let Some(record) = proposer.receive_accepted(voter, ballot, until) {
+            self.learn(now, record);
+            self.broadcast_latest();
         }
     }
 
-    /// How long answers to a bid may take: the way there and back is not known beforehand.
-    fn patience(&self) -> Span {
-        self.pace.heartbeat_period.mul_f64(BID_PERIODS * f64::from(1 << self.failed))
+    /// How long answers to a ballot may take. It grows with each failure, as the round-trip time is not known
+    /// beforehand.
+    fn answer_timeout(&self) -> Span {
+        self.config.heartbeat_period.mul_f64(ANSWER_TIMEOUT_PERIODS * f64::from(1 << self.failed_ballots))
     }
 
-    /// Asks those again that did not answer, a few times.
-    fn ask_again(&mut self, now: Moment) {
-        let due = now + self.patience();
-        let Some(bid) = self.bid.as_mut().filter(|bid| bid.asked < ASKED) else {
-            return self.give_up_bid(now);
+    /// Sends the ballot's request again to the voters that did not answer, or gives the ballot up after a few
+    /// times.
+    fn retry_ballot(&mut self, now: Moment) {
+        let retry_at = now + self.answer_timeout();
+        let Some(active) =
+            self.active_ballot.as_mut().filter(|active| active.attempts < MAX_REQUEST_ATTEMPTS)
+        else {
+            return self.abandon_ballot(now);
         };
-        (bid.due, bid.asked) = (due, bid.asked + 1);
-        let (number, ballot) = (bid.proposer.number, bid.proposer.ballot);
-        let said = match bid.proposer.proposal_to_accept() {
-            None => Said::Prepare { number, ballot },
-            Some(proposal) => Said::Accept { number, ballot, proposal: proposal.clone() },
+        (active.retry_at, active.attempts) = (retry_at, active.attempts + 1);
+        let (number, ballot) = (active.proposer.number, active.proposer.ballot);
+        let message = match active.proposer.proposal_to_accept() {
+            None => Message::Prepare { number, ballot },
+            Some(proposal) => Message::Accept { number, ballot, proposal: proposal.clone() },
         };
-        for voter in bid.proposer.unanswered() {
+        for voter in active.proposer.unanswered() {
             if voter != self.me {
-                self.send(voter.node, &said);
+                self.send(voter.node, &message);
             }
         }
     }
 
-    fn give_up_bid(&mut self, now: Moment) {
-        if self.bid.take().is_some() {
-            self.failed = (self.failed + 1).min(DOUBLINGS);
-            let pause =
-                self.pace.heartbeat_period.mul_f64(f64::from(1 << self.failed) * self.chance.random::<f64>());
-            self.bid_at = now + pause;
+    /// Abandons the ballot and sets a random pause before the next one, which grows with each failure.
+    fn abandon_ballot(&mut self, now: Moment) {
+        if self.active_ballot.take().is_some() {
+            self.failed_ballots = (self.failed_ballots + 1).min(MAX_TIMEOUT_DOUBLINGS);
+            let pause = self
+                .config
+                .heartbeat_period
+                .mul_f64(f64::from(1 << self.failed_ballots) * self.rng.random::<f64>());
+            self.next_ballot_at = now + pause;
         }
     }
 
-    /// What should follow the latest state: what the host wants, and the voters as they are named and live.
-    fn due_proposal(&self, now: Moment) -> Option<Proposal> {
-        let latest = self.latest().filter(|_| self.is_voter() && self.founded())?;
-        let voters = self.due_voters(now, latest);
+    /// What should follow the latest state, if anything: the content that the host wants, and the voters as
+    /// they are in the voter set and alive.
+    fn next_proposal(&self, now: Moment) -> Option<Proposal> {
+        let latest = self.latest().filter(|_| self.is_voter() && self.is_epoch_founded())?;
+        let voters = self.next_voters(now, latest);
         let change = voters != latest.proposal.voters && self.is_designated_proposer(now);
         let voters = if change { voters } else { latest.proposal.voters.clone() };
-        match &self.want {
+        match &self.wanted_content {
             Some((_, content)) => Some(Proposal { voters, content: content.clone() }),
             None => change.then(|| Proposal { voters, content: latest.proposal.content.clone() }),
         }
     }
 
-    /// The named, each in the incarnation that was last heard. Of those never heard by this node, the incarnation that the latest state
-    /// names stays; a voter that the order names no more goes.
-    fn due_voters(&self, now: Moment, latest: &DecidedState) -> Vec<Voter> {
-        let of_latest =
-            |name: &NodeId| latest.proposal.voters.iter().find(|voter| voter.node == *name).copied();
-        let due = self.named.iter().filter_map(|name| {
-            if *name == self.me.node {
+    /// The routers of the voter set, each in the incarnation that this node last received from. A router that
+    /// it has not received from recently stays in the incarnation that the latest state names, if any. A
+    /// voter that is no longer in the voter set is removed.
+    fn next_voters(&self, now: Moment, latest: &DecidedState) -> Vec<Voter> {
+        let in_latest_state =
+            |node: &NodeId| latest.proposal.voters.iter().find(|voter| voter.node == *node).copied();
+        let voters = self.voter_set.iter().filter_map(|node| {
+            if *node == self.me.node {
                 return Some(self.me);
             }
-            let recent =
-                |heard: &&Heard| now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
-            let heard = self.heard.get(name).filter(recent);
-            heard
-                .map(|heard| Voter { node: *name, incarnation: heard.incarnation })
-                .or_else(|| of_latest(name))
+            let recent = |peer: &&PeerStatus| {
+                now.since(peer.received_at) < self.config.heartbeat_period.mul_f64(VOTER_GONE_AFTER_PERIODS)
+            };
+            let peer = self.peers.get(node).filter(recent);
+            peer.map(|peer| Voter { node: *node, incarnation: peer.incarnation })
+                .or_else(|| in_latest_state(node))
         });
-        due.collect()
+        voters.collect()
     }
 
-    /// When [`next_action`](Self::next_action) is to be asked again, if nothing comes in.
+    /// When to call [`next_action`](Self::next_action) again if no input arrives before.
     pub fn next_deadline(&self) -> Option<Moment> {
-        if self.named.is_empty() {
+        if self.voter_set.is_empty() {
             return None;
         }
-        let bid = self.bid.as_ref().map(|bid| bid.due);
-        let warrant = self.is_voter().then_some(self.warrant_at);
-        [Some(self.beat_at), bid, warrant].into_iter().flatten().min()
+        let retry = self.active_ballot.as_ref().map(|active| active.retry_at);
+        let attestation = self.is_voter().then_some(self.next_attestation_at);
+        [Some(self.next_heartbeat_at), retry, attestation].into_iter().flatten().min()
     }
 
+    /// The next action for the host. `None` if there is nothing more to do now.
     pub fn next_action(&mut self, now: Moment) -> Option<Action> {
-        if !self.named.is_empty() && self.todo.is_empty() {
-            self.pass_time(now);
+        if !self.voter_set.is_empty() && self.actions.is_empty() {
+            self.run_timers(now);
         }
-        self.todo.pop_front()
+        self.actions.pop_front()
     }
 
-    fn pass_time(&mut self, now: Moment) {
-        if now >= self.beat_at {
-            self.beat_at = now + self.pace.heartbeat_period;
-            self.beat(now);
+    fn run_timers(&mut self, now: Moment) {
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + self.config.heartbeat_period;
+            self.send_heartbeat(now);
         }
-        if self.is_voter() && now >= self.warrant_at {
-            self.warrant_at = now + self.pace.lease.mul_f64(1.0 / WARRANTS_A_LEASE);
-            self.warrant(now);
+        if self.is_voter() && now >= self.next_attestation_at {
+            self.next_attestation_at = now + self.config.lease.mul_f64(1.0 / ATTESTATIONS_PER_LEASE);
+            self.issue_attestation(now);
         }
-        if self.bid.as_ref().is_some_and(|bid| now >= bid.due) {
-            self.ask_again(now);
+        if self.active_ballot.as_ref().is_some_and(|active| now >= active.retry_at) {
+            self.retry_ballot(now);
         }
-        if self.bid.is_none() && now >= self.bid_at {
-            self.begin_bid(now);
+        if self.active_ballot.is_none() && now >= self.next_ballot_at {
+            self.start_ballot(now);
         }
     }
 
-    fn warrant(&mut self, now: Moment) {
-        if !self.founded() {
+    fn issue_attestation(&mut self, now: Moment) {
+        if !self.is_epoch_founded() {
             return;
         }
         if let Some(number) = self.acceptor.attest(now)
-            && let Some(agreed) = self.latest().cloned()
+            && let Some(state) = self.latest().cloned()
         {
-            let (incarnation, digest) = (self.me.incarnation, agreed.digest());
-            let warrant = Attestation { incarnation, number, digest, issued_at_us: micros(now) };
-            self.todo.push_back(Action::Attest(warrant, agreed));
+            let (incarnation, digest) = (self.me.incarnation, state.digest());
+            let attestation = Attestation { incarnation, number, digest, issued_at_us: unix_micros(now) };
+            self.actions.push_back(Action::Attest(attestation, state));
         }
     }
 
-    /// Tells the other named that this incarnation goes on; offers its vote where it has none.
-    fn beat(&mut self, now: Moment) {
-        let named = self.named.contains(&self.me.node);
-        let knows = self.acceptor.latest().cloned();
-        let number = knows.as_ref().map(|known| known.state.number);
-        let said = if named && !self.founded() {
-            self.found(now);
-            Said::Enlist { epoch: self.epoch, knows }
+    /// Sends a heartbeat to the other routers of the voter set, or an offer to vote while the epoch is not
+    /// founded. Reports voters that are gone and a majority that is lost or back.
+    fn send_heartbeat(&mut self, now: Moment) {
+        let in_voter_set = self.voter_set.contains(&self.me.node);
+        let latest = self.acceptor.latest().cloned();
+        let number = latest.as_ref().map(|known| known.state.number);
+        let message = if in_voter_set && !self.is_epoch_founded() {
+            self.found_epoch(now);
+            Message::Enlist { epoch: self.epoch, latest }
         } else {
-            let recent = |(_, heard): &(&NodeId, &Heard)| {
-                now.since(heard.at) < self.pace.heartbeat_period.mul_f64(GONE_PERIODS)
+            let recent = |(_, peer): &(&NodeId, &PeerStatus)| {
+                now.since(peer.received_at) < self.config.heartbeat_period.mul_f64(VOTER_GONE_AFTER_PERIODS)
             };
-            let hears = self
-                .heard
+            let receives_from = self
+                .peers
                 .iter()
                 .filter(recent)
-                .map(|(name, heard)| Voter { node: *name, incarnation: heard.incarnation });
-            Said::Beat { knows: number, hears: hears.collect(), fit: self.fit(now) }
+                .map(|(node, peer)| Voter { node: *node, incarnation: peer.incarnation });
+            Message::Heartbeat {
+                latest: number,
+                receives_from: receives_from.collect(),
+                has_majority: self.has_majority_contact(now),
+            }
         };
-        if named {
-            for name in self.others() {
-                self.send(name, &said);
+        if in_voter_set {
+            for node in self.other_nodes() {
+                self.send(node, &message);
             }
         }
-        let gone_after = self.pace.heartbeat_period.mul_f64(GONE_PERIODS);
+        let gone_after = self.config.heartbeat_period.mul_f64(VOTER_GONE_AFTER_PERIODS);
         let gone: Vec<NodeId> = self
-            .heard
+            .peers
             .iter_mut()
-            .filter(|(_, heard)| !heard.gone && now.since(heard.at) >= gone_after)
-            .map(|(name, heard)| {
-                heard.gone = true;
-                *name
+            .filter(|(_, peer)| !peer.gone && now.since(peer.received_at) >= gone_after)
+            .map(|(node, peer)| {
+                peer.gone = true;
+                *node
             })
             .collect();
-        for name in gone {
-            self.event(EventKind::VoterGone, Some(name));
+        for node in gone {
+            self.push_event(EventKind::VoterGone, Some(node));
         }
         if !self.is_voter() {
             return;
         }
-        let lost = !self.fit(now);
-        if lost != std::mem::replace(&mut self.lost, lost) {
-            self.event(if lost { EventKind::MajorityLost } else { EventKind::MajorityBack }, None);
+        let lost = !self.has_majority_contact(now);
+        if lost != std::mem::replace(&mut self.majority_lost, lost) {
+            self.push_event(if lost { EventKind::MajorityLost } else { EventKind::MajorityBack }, None);
         }
     }
 
-    /// Bids for the next number if there is something to decide. Without a majority there is no use in it.
-    fn begin_bid(&mut self, now: Moment) {
-        let Some(want) = self.due_proposal(now) else { return };
-        let Some(settled) = self.acceptor.latest() else { return };
-        if now < settled.voting_opens_at(self.pace.clock_tolerance) || self.lost {
+    /// Starts a ballot for the next number if there is something to decide. Without a majority a ballot could
+    /// not succeed.
+    fn start_ballot(&mut self, now: Moment) {
+        let Some(proposal) = self.next_proposal(now) else { return };
+        let Some(record) = self.acceptor.latest() else { return };
+        if now < record.voting_opens_at(self.config.clock_tolerance) || self.majority_lost {
             return;
         }
-        self.round += 1;
-        let ballot = Ballot { round: self.round, by: self.me };
-        let Some(bid) = Proposer::start(&settled.state, ballot, want) else { return };
-        let (number, voters) = (bid.number, bid.voters().to_vec());
-        let due = now + self.patience();
-        self.bid = Some(Bid { proposer: bid, due, asked: 1 });
+        self.highest_round += 1;
+        let ballot = Ballot { round: self.highest_round, proposer: self.me };
+        let Some(proposer) = Proposer::start(&record.state, ballot, proposal) else { return };
+        let (number, voters) = (proposer.number, proposer.voters().to_vec());
+        let retry_at = now + self.answer_timeout();
+        self.active_ballot = Some(ActiveBallot { proposer, retry_at, attempts: 1 });
         for voter in voters {
             if voter != self.me {
-                self.send(voter.node, &Said::Prepare { number, ballot });
+                self.send(voter.node, &Message::Prepare { number, ballot });
             }
         }
         if let Ok(accepted) = self.acceptor.prepare(now, number, ballot) {
-            self.promised(now, self.me, number, ballot, accepted);
+            self.handle_promise(now, self.me, number, ballot, accepted);
         }
     }
 }
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -1,36 +1,39 @@
-//! What is agreed: a numbered state, and who votes on the next one.
+//! The states that are agreed on: their numbers, their contents, and the voters on the next state.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha512};
 use woadhook::{Moment, Span};
 
-/// The most voters.
+/// The maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
 
-/// A router, by a hash of its key.
+/// Identifies a router by a hash of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
-/// One start of a router from nothing, drawn anew at each: the time of the start in the high bits, chance in the low ones.
+/// One start of a router from nothing. The host draws a new value at each start: the time of the start in the
+/// high bits, random bits in the low ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Who may vote: this start of this router, and no other.
+/// A router that may vote. Only this incarnation has the vote; after a restart the router is another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     pub node: NodeId,
     pub incarnation: Incarnation,
 }
 
-/// A bid for one number. No two proposers ever make the same, as each incarnation has its own.
+/// A Paxos ballot for one state number. Two proposers never make the same one, as a ballot names the
+/// incarnation of its proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub by: Voter,
+    pub proposer: Voter,
 }
 
-/// Which state. Epochs are ordered by the operator, steps decided by the voters. `founding_id` tells apart two foundings of one
-/// epoch, which can come about only if all who remembered the first are gone.
+/// The position of a state. The operator orders epochs, and the voters decide steps. `founding_id`
+/// distinguishes two foundings of one epoch, which can happen only if all processes that remembered the first
+/// one are gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StateNumber {
     pub epoch: u64,
@@ -39,35 +42,39 @@
 }
 
 impl StateNumber {
-    /// The number decided next; none at the end of all numbers, where the operator has to order another epoch.
+    /// The number of the next state. `None` after the last step, where the operator has to order another
+    /// epoch.
     pub fn next(self) -> Option<Self> {
         self.step.checked_add(1).map(|step| Self { step, ..self })
     }
 
-    pub fn is_later(self, than: StateNumber) -> bool {
-        (self.epoch, self.step) > (than.epoch, than.step)
+    /// Whether this number has a later epoch, or a later step of the same epoch.
+    pub fn is_later(self, other: StateNumber) -> bool {
+        (self.epoch, self.step) > (other.epoch, other.step)
     }
 
-    /// Whether both can be of one history.
+    /// Whether both numbers can belong to one history: two numbers of one epoch need the same founding.
     pub fn shares_history_with(self, other: StateNumber) -> bool {
         self.epoch != other.epoch || self.founding_id == other.founding_id
     }
 }
 
-/// What is voted on: the content, and who votes on what follows it.
+/// What is voted on: the content of a state, and the voters on the state after it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// One to [`MAX_VOTERS`], by name, none twice.
+    /// One to [`MAX_VOTERS`] voters, sorted by node, with no node twice.
     pub voters: Vec<Voter>,
     pub content: Vec<u8>,
 }
 
 impl Proposal {
-    pub fn is_valid(&self, most_content: usize) -> bool {
-        let rising = self.voters.windows(2).all(|two| two[0].node < two[1].node);
-        rising && (1..=MAX_VOTERS).contains(&self.voters.len()) && self.content.len() <= most_content
+    /// Whether the voters are as stated above and the content is not too long.
+    pub fn is_valid(&self, max_content_bytes: usize) -> bool {
+        let sorted = self.voters.windows(2).all(|pair| pair[0].node < pair[1].node);
+        sorted && (1..=MAX_VOTERS).contains(&self.voters.len()) && self.content.len() <= max_content_bytes
     }
 
+    /// The number of voters that make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -85,30 +92,32 @@
 }
 
 impl DecidedState {
-    /// What stands for it in warrants.
+    /// The hash that represents the state in attestations.
     pub fn digest(&self) -> u64 {
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
-        let whole = Sha512::digest([b"woadhook agreed 1".as_slice(), &bytes].concat());
-        u64::from_be_bytes(std::array::from_fn(|place| whole[place]))
+        let hash = Sha512::digest([b"woadhook agreed 1".as_slice(), &bytes].concat());
+        u64::from_be_bytes(std::array::from_fn(|index| hash[index]))
     }
 }
 
-/// A decided state as voters pass it on.
+/// A decided state as voters send it to each other, with the time before which the next one may not be voted
+/// on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DecisionRecord {
     pub state: DecidedState,
-    /// Microseconds of Unix time at which the last warrant for the state before runs out, on its giver's clock: nothing that
-    /// comes after this state may be voted on before.
+    /// When the last attestation for the previous state expires: Unix time in microseconds, on the clock of
+    /// the voter that issued it. The state after this one may not be voted on before.
     pub previous_lease_end_us: u64,
 }
 
 impl DecisionRecord {
-    /// When voting on the next may begin, on any clock within the tolerance.
-    pub fn voting_opens_at(&self, tolerance: Span) -> Moment {
-        Moment::from_micros(self.previous_lease_end_us) + tolerance
+    /// When voting on the next state may begin, on any clock within the tolerance.
+    pub fn voting_opens_at(&self, clock_tolerance: Span) -> Moment {
+        Moment::from_micros(self.previous_lease_end_us) + clock_tolerance
     }
 }
 
-pub(crate) fn micros(moment: Moment) -> u64 {
+/// Unix time in microseconds, for moments of the routers' clocks.
+pub(crate) fn unix_micros(moment: Moment) -> u64 {
     moment.since(Moment::default()).micros()
 }
--- a/crates/accord/tests/leases.rs
+++ b/crates/accord/tests/leases.rs
@@ -1,7 +1,8 @@
-//! Every order of events around leases in a small world with clocks apart, checked by `stateright`: voters learn late or
-//! never, a follower hears some warrants and acts on what it holds. A warrant that comes late counts from when it was said,
-//! and one that is not heard only makes voters wait longer, so those that are heard are heard at once. Acceptors, proposer
-//! and follower are the package's own; a decision is one step.
+//! A model of leases with clock differences, checked by `stateright` in every order of events: voters learn
+//! of decisions late or never, and a follower receives some attestations and acts on the state that is in
+//! force. Attestations are received at once or never, which covers the other cases: a late attestation counts
+//! from the time at which it was issued, and a lost one only makes voters wait longer. The acceptors, the
+//! proposer and the follower are those of the package; a decision is one step.
 
 use stateright::{Checker, Model, Property};
 use woadhook::{Moment, Span};
@@ -13,50 +14,51 @@
 };
 
 const VOTERS: usize = 3;
-/// One tick is the clocks' tolerance; the time is the ticks.
-const TICK: u64 = 1_000_000;
-const BEGIN: u64 = 100;
+/// Microseconds in a tick. Time is counted in ticks, and one tick is the clock tolerance.
+const TICK_US: u64 = 1_000_000;
+const START_TICK: u64 = 100;
 
-/// What may happen, and what can be taken out.
+/// The model's limits, and the defences that can be turned off.
 #[derive(Clone)]
-struct World {
-    ticks: u64,
-    /// In ticks: what voters count their warrants for, and what the follower does.
+struct LeaseModel {
+    max_ticks: u64,
+    /// How many ticks an attestation is valid for voters (`lease`) and for the follower (`follower_lease`).
     lease: u64,
-    held: u64,
-    /// Whether voters wait for the tolerance. Followers always leave it out: one that did not would hold a tick more.
-    voters_wait: bool,
+    follower_lease: u64,
+    /// Whether voters wait for the clock tolerance. The follower always subtracts it; a follower that does
+    /// not is modelled by a `follower_lease` that is one tick longer.
+    voters_wait_for_tolerance: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     time: u64,
-    /// Ticks that each voter's clock and the follower's is ahead.
-    ahead: Vec<u64>,
+    /// How many ticks the clocks of the voters and, last, of the follower are ahead.
+    clock_offsets: Vec<u64>,
     acceptors: Vec<Acceptor>,
     follower: Follower,
     decided: Vec<DecisionRecord>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Happens {
+enum Step {
     Tick,
-    Vouches(usize),
-    /// These two voters decide what follows.
+    Attest(usize),
+    /// These two voters decide the state that follows.
     Decide(usize, usize),
-    Learns(usize),
+    Learn(usize),
 }
 
 fn span(ticks: u64) -> Span {
-    Span::from_micros(ticks * TICK)
+    Span::from_micros(ticks * TICK_US)
 }
 
 fn at(ticks: u64) -> Moment {
-    Moment::from_micros(ticks * TICK)
+    Moment::from_micros(ticks * TICK_US)
 }
 
 fn voters() -> Vec<Voter> {
-    (0..VOTERS as u64).map(|name| Voter { node: NodeId(name), incarnation: Incarnation(0) }).collect()
+    (0..VOTERS as u64).map(|node| Voter { node: NodeId(node), incarnation: Incarnation(0) }).collect()
 }
 
 fn state(step: u64) -> DecidedState {
@@ -67,38 +69,38 @@
 }
 
 impl State {
-    fn now(&self, place: usize) -> Moment {
-        at(self.time + self.ahead[place])
+    fn now(&self, node: usize) -> Moment {
+        at(self.time + self.clock_offsets[node])
     }
 
     fn acts_on(&self) -> Option<u64> {
-        self.follower.in_force(self.now(VOTERS)).map(|agreed| agreed.number.step)
+        self.follower.in_force(self.now(VOTERS)).map(|state| state.number.step)
     }
 }
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
-    type Action = Happens;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let first = DecisionRecord { state: state(0), previous_lease_end_us: 0 };
-        let wait = if self.voters_wait { span(1) } else { Span::ZERO };
+        let clock_tolerance = if self.voters_wait_for_tolerance { span(1) } else { Span::ZERO };
         let acceptors: Vec<Acceptor> = voters()
             .into_iter()
             .map(|me| {
-                let mut acceptor = Acceptor::new(me, wait, span(self.lease));
+                let mut acceptor = Acceptor::new(me, clock_tolerance, span(self.lease));
                 acceptor.learn(first.clone());
                 acceptor
             })
             .collect();
-        let mut follower = Follower::new(span(1), span(self.held), 8);
+        let mut follower = Follower::new(span(1), span(self.follower_lease), 8);
         follower.apply_voter_set(1, &voters().iter().map(|voter| voter.node).collect::<Vec<_>>());
-        // The voters' ahead of the follower's, the follower's ahead, two voters' ahead.
+        // The clocks that are ahead: those of all voters, that of the follower, those of two voters.
         [[1, 1, 1, 0], [0, 0, 0, 1], [1, 1, 0, 0]]
             .into_iter()
-            .map(|ahead| State {
-                time: BEGIN,
-                ahead: ahead.to_vec(),
+            .map(|clock_offsets| State {
+                time: START_TICK,
+                clock_offsets: clock_offsets.to_vec(),
                 acceptors: acceptors.clone(),
                 follower: follower.clone(),
                 decided: vec![first.clone()],
@@ -106,62 +108,58 @@
             .collect()
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Happens>) {
-        if state.time < BEGIN + self.ticks {
-            actions.push(Happens::Tick);
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        if state.time < START_TICK + self.max_ticks {
+            actions.push(Step::Tick);
         }
-        actions.extend((0..VOTERS).map(Happens::Vouches));
+        actions.extend((0..VOTERS).map(Step::Attest));
         if state.decided.len() < 3 {
-            actions.extend([(0, 1), (0, 2), (1, 2)].map(|(one, other)| Happens::Decide(one, other)));
+            actions.extend([(0, 1), (0, 2), (1, 2)].map(|(one, other)| Step::Decide(one, other)));
         }
-        actions.extend((0..VOTERS).map(Happens::Learns));
+        actions.extend((0..VOTERS).map(Step::Learn));
     }
 
-    fn next_state(&self, last: &State, action: Happens) -> Option<State> {
+    fn next_state(&self, last: &State, action: Step) -> Option<State> {
         let mut next = last.clone();
         match action {
-            Happens::Tick => next.time += 1,
-            Happens::Vouches(place) => {
-                let now = next.now(place);
-                let number = next.acceptors[place].attest(now)?;
-                let agreed = state(number.step);
-                let said = (next.time + next.ahead[place]) * TICK;
-                let warrant = Attestation {
-                    incarnation: Incarnation(0),
-                    number,
-                    digest: agreed.digest(),
-                    issued_at_us: said,
-                };
-                let heard = next.now(VOTERS);
-                next.follower.receive_attestation(heard, NodeId(place as u64), warrant);
-                next.follower.receive_state(agreed);
+            Step::Tick => next.time += 1,
+            Step::Attest(node) => {
+                let now = next.now(node);
+                let number = next.acceptors[node].attest(now)?;
+                let state = state(number.step);
+                let issued_at_us = (next.time + next.clock_offsets[node]) * TICK_US;
+                let attestation =
+                    Attestation { incarnation: Incarnation(0), number, digest: state.digest(), issued_at_us };
+                let received_at = next.now(VOTERS);
+                next.follower.receive_attestation(received_at, NodeId(node as u64), attestation);
+                next.follower.receive_state(state);
             }
-            Happens::Decide(one, other) => {
+            Step::Decide(one, other) => {
                 let after = next.acceptors[one].latest()?.state.clone();
                 let number = after.number.next()?;
                 if number.step as usize != next.decided.len() {
                     return None;
                 }
-                let ballot = Ballot { round: 1, by: voters()[one] };
-                let mut bid = Proposer::start(&after, ballot, state(number.step).proposal)?;
-                for place in [one, other] {
-                    let now = next.now(place);
-                    let accepted = next.acceptors[place].prepare(now, number, ballot).ok()?;
-                    bid.receive_promise(voters()[place], ballot, accepted);
+                let ballot = Ballot { round: 1, proposer: voters()[one] };
+                let mut proposer = Proposer::start(&after, ballot, state(number.step).proposal)?;
+                for node in [one, other] {
+                    let now = next.now(node);
+                    let accepted = next.acceptors[node].prepare(now, number, ballot).ok()?;
+                    proposer.receive_promise(voters()[node], ballot, accepted);
                 }
-                let proposal = bid.proposal_to_accept()?.clone();
-                let mut settled = None;
-                for place in [one, other] {
-                    let now = next.now(place);
-                    let until = next.acceptors[place].accept(now, number, ballot, proposal.clone()).ok()?;
-                    settled = settled.or(bid.receive_accepted(voters()[place], ballot, until));
+                let proposal = proposer.proposal_to_accept()?.clone();
+                let mut record = None;
+                for node in [one, other] {
+                    let now = next.now(node);
+                    let until = next.acceptors[node].accept(now, number, ballot, proposal.clone()).ok()?;
+                    record = record.or(proposer.receive_accepted(voters()[node], ballot, until));
                 }
-                next.decided.push(settled?);
+                next.decided.push(record?);
             }
-            Happens::Learns(place) => {
-                let known = next.acceptors[place].latest()?.state.number.step as usize;
-                let settled = next.decided.get(known + 1)?.clone();
-                next.acceptors[place].learn(settled);
+            Step::Learn(node) => {
+                let known = next.acceptors[node].latest()?.state.number.step as usize;
+                let record = next.decided.get(known + 1)?.clone();
+                next.acceptors[node].learn(record);
             }
         }
         (next != *last).then_some(next)
@@ -169,41 +167,55 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody acts on a state once its second next is decided", |_, state: &State| {
-                state.acts_on().is_none_or(|step| state.decided.len() as u64 <= step + 2)
+            Property::always(
+                "nobody acts on a state once the state two steps later is decided",
+                |_, state: &State| state.acts_on().is_none_or(|step| state.decided.len() as u64 <= step + 2),
+            ),
+            Property::sometimes("the follower acts", |_, state: &State| state.acts_on().is_some()),
+            Property::sometimes("a state two steps later is decided", |_, state: &State| {
+                state.decided.len() == 3
             }),
-            Property::sometimes("somebody acts", |_, state: &State| state.acts_on().is_some()),
-            Property::sometimes("a second next is decided", |_, state: &State| state.decided.len() == 3),
         ]
     }
 }
 
-const USUAL: World = World { ticks: 4, lease: 2, held: 2, voters_wait: true };
-const SAFE: &str = "nobody acts on a state once its second next is decided";
+const DEFAULT_MODEL: LeaseModel =
+    LeaseModel { max_ticks: 4, lease: 2, follower_lease: 2, voters_wait_for_tolerance: true };
+const NO_STALE_ACTION: &str = "nobody acts on a state once the state two steps later is decided";
 
-/// Searches until it ends, or finds what may not be.
-fn finds(world: World) -> (bool, usize) {
-    let checker = world.checker().threads(2).spawn_bfs().join();
-    (checker.discovery(SAFE).is_some(), checker.unique_state_count())
+/// Runs the search. Returns whether it found a violation, and the number of states.
+fn search(model: LeaseModel) -> (bool, usize) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
+    (checker.discovery(NO_STALE_ACTION).is_some(), checker.unique_state_count())
 }
 
 #[test]
-fn leases_keep_apart_what_is_acted_on_and_what_is_decided() {
-    let checker = USUAL.checker().threads(2).spawn_bfs().join();
+fn follower_does_not_act_on_a_state_two_steps_behind() {
+    let checker = DEFAULT_MODEL.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
-    assert!(checker.discovery(SAFE).is_none());
-    assert!(checker.discovery("somebody acts").is_some());
-    assert!(checker.discovery("a second next is decided").is_some());
+    assert!(checker.discovery(NO_STALE_ACTION).is_none());
+    assert!(checker.discovery("the follower acts").is_some());
+    assert!(checker.discovery("a state two steps later is decided").is_some());
 }
 
 #[test]
-fn without_the_wait_of_voters_or_the_allowance_of_followers_the_search_finds_what_may_not_be() {
-    for (what, world) in [
-        ("voters count their warrants for less than followers do", World { lease: 1, held: 4, ..USUAL }),
-        ("nobody counts clocks apart", World { held: USUAL.held + 1, voters_wait: false, ..USUAL }),
+fn short_voter_leases_or_ignored_clock_tolerance_let_the_follower_act_on_an_old_state() {
+    for (case, model) in [
+        (
+            "attestations are valid for a shorter time for voters than for the follower",
+            LeaseModel { lease: 1, follower_lease: 4, ..DEFAULT_MODEL },
+        ),
+        (
+            "neither voters nor the follower allow for the clock tolerance",
+            LeaseModel {
+                follower_lease: DEFAULT_MODEL.follower_lease + 1,
+                voters_wait_for_tolerance: false,
+                ..DEFAULT_MODEL
+            },
+        ),
     ] {
-        let (found, states) = finds(world);
-        println!("{what}: {states} states");
-        assert!(found, "{what}");
+        let (found, states) = search(model);
+        println!("{case}: {states} states");
+        assert!(found, "{case}");
     }
 }
