--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -26,7 +26,7 @@
 const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
 /// The maximum number of times that a ballot's request is sent before the ballot is abandoned.
 const MAX_REQUEST_ATTEMPTS: u32 = 3;
-/// Attestations issued in the time for which one is valid.
+/// The number of attestations that a voter issues in the time for which one is valid.
 const ATTESTATIONS_PER_LEASE: f64 = 4.0;
 
 /// The periods, tolerances and limits of the agreement.
@@ -80,14 +80,14 @@
 /// What the host has to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends bytes to the router `to`, whose address the host knows. The receiver must be able to verify that
-    /// this node sent them.
+    /// Send the bytes to the router `to`, whose address the host knows. The receiver must be able to verify
+    /// that this node sent them.
     Send { to: NodeId, bytes: Vec<u8> },
-    /// Signs the attestation and sends it to all routers, with the state that it attests to.
+    /// Sign the attestation and send it to all routers, with the state that it attests.
     Attest(Attestation, DecidedState),
-    /// A state was decided, or a decided state was learned.
+    /// Take note that a state was decided here or learned from another voter.
     Decided(DecidedState),
-    /// Writes a log line.
+    /// Write a log line.
     Event { kind: EventKind, voter: Option<NodeId>, number: Option<StateNumber> },
 }
 
@@ -156,7 +156,7 @@
 }
 
 impl Node {
-    /// The host draws the incarnation of `me` anew at each start.
+    /// The host has to draw a new incarnation for `me` at each start.
     pub fn new(now: Moment, seed: u64, me: Voter, config: AccordConfig) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let first_timer = now + config.heartbeat_period.mul_f64(rng.random::<f64>());
