--- a/crates/router/examples/toy.rs
+++ b/crates/router/examples/toy.rs
@@ -10,8 +10,8 @@
 use rmp::{Marker, decode, encode};
 
 fn main() -> io::Result<()> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         ["serve"] => {
             for at in ["127.0.0.1:8081", "127.0.0.1:8082"] {
                 let listener = TcpListener::bind(at)?;
@@ -43,8 +43,8 @@
         if stream.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        if let Some(told) = line.strip_prefix("Content-Length: ") {
-            length = told.trim().parse().unwrap_or(0);
+        if let Some(value) = line.strip_prefix("Content-Length: ") {
+            length = value.trim().parse().unwrap_or(0);
         }
         if line == "\r\n" {
             break;
@@ -76,8 +76,8 @@
     encode::write_str(&mut message, class)?;
     encode::write_array_len(&mut message, 2)?;
     encode::write_map_len(&mut message, 4)?;
-    for word in ["id", &id, "wait", "3000", "cost", "820.0", "ram", "96"] {
-        encode::write_str(&mut message, word)?;
+    for text in ["id", &id, "wait", "3000", "cost", "820.0", "ram", "96"] {
+        encode::write_str(&mut message, text)?;
     }
     encode::write_bin(&mut message, statement.as_bytes())?;
     let mut stream = TcpStream::connect("127.0.0.1:9090")?;
@@ -94,8 +94,8 @@
     }
     decode::read_array_len(&mut answer).map_err(io::Error::other)?;
     let read = if served { decode::read_bin_len } else { decode::read_str_len };
-    let mut words = vec![0; read(&mut answer).map_err(io::Error::other)? as usize];
-    answer.read_exact(&mut words)?;
-    println!("{}", String::from_utf8_lossy(&words).trim_end());
+    let mut text = vec![0; read(&mut answer).map_err(io::Error::other)? as usize];
+    answer.read_exact(&mut text)?;
+    println!("{}", String::from_utf8_lossy(&text).trim_end());
     Ok(())
 }
--- a/crates/router/src/arrivals.rs
+++ b/crates/router/src/arrivals.rs
@@ -11,63 +11,63 @@
 use woadhook::{Moment, Span};
 
 use crate::clock::{Clock, sleep};
-use crate::interrupted_calls::retried;
+use crate::interrupted_calls::retry_interrupted;
 use crate::tasks::Tasks;
 
 /// Interval at which the event loop records that it runs and hears of its sockets.
-const TICK: Span = Span::from_micros(25_000);
+const TICK_INTERVAL: Span = Span::from_micros(25_000);
 /// Bytes that may have arrived at most this long before they were read count as having arrived when they were
 /// read.
-const TOLERANCE: Span = Span::from_micros(100_000);
+const ARRIVAL_TOLERANCE: Span = Span::from_micros(100_000);
 
 /// Times at which this thread's event loop ran. Between two of them the reactor reported every ready socket
 /// at least once, so what a waiting reader reads after the third arrived after the first.
 #[derive(Clone)]
-pub struct LoopTicks(Rc<Noted>);
+pub struct LoopTicks(Rc<TickTimes>);
 
-struct Noted {
+struct TickTimes {
     last_three: [Cell<Moment>; 3],
     /// The longest time between two ticks since it was last queried.
-    gap: Cell<Span>,
+    longest_gap: Cell<Span>,
     /// The time up to which stalls have already been reported.
-    counted: Cell<Moment>,
+    reported_until: Cell<Moment>,
 }
 
 impl LoopTicks {
     pub fn start(clock: Clock, tasks: Tasks) -> Self {
         let last_three = [0; 3].map(|_| Cell::new(clock.now()));
-        let (gap, counted) = (Cell::new(Span::ZERO), Cell::new(clock.now()));
-        let loop_ticks = Self(Rc::new(Noted { last_three, gap, counted }));
-        let noted = loop_ticks.clone();
+        let (longest_gap, reported_until) = (Cell::new(Span::ZERO), Cell::new(clock.now()));
+        let loop_ticks = Self(Rc::new(TickTimes { last_three, longest_gap, reported_until }));
+        let recorder = loop_ticks.clone();
         tasks.spawn(async move {
             loop {
-                noted.note(clock.now());
-                sleep(TICK).await;
+                recorder.record_tick(clock.now());
+                sleep(TICK_INTERVAL).await;
             }
         });
         loop_ticks
     }
 
-    fn note(&self, now: Moment) {
-        let Noted { last_three: [first, second, third], gap, counted } = &*self.0;
-        gap.set(gap.get().max(now.since(third.get().max(counted.get()))));
+    fn record_tick(&self, now: Moment) {
+        let TickTimes { last_three: [first, second, third], longest_gap, reported_until } = &*self.0;
+        longest_gap.set(longest_gap.get().max(now.since(third.get().max(reported_until.get()))));
         first.set(second.replace(third.replace(now)));
     }
 
     /// Whether the event loop stalled for longer than the given span at any time since the last call. Each
     /// stall is reported once.
     pub fn has_stalled(&self, now: Moment, longer_than: Span) -> bool {
-        let Noted { last_three: [.., last], gap, counted } = &*self.0;
-        let up_to_now = now.since(last.get().max(counted.get()));
-        let stood = gap.replace(Span::ZERO).max(up_to_now) > longer_than;
-        if stood {
-            counted.set(now);
+        let TickTimes { last_three: [.., last], longest_gap, reported_until } = &*self.0;
+        let up_to_now = now.since(last.get().max(reported_until.get()));
+        let stalled = longest_gap.replace(Span::ZERO).max(up_to_now) > longer_than;
+        if stalled {
+            reported_until.set(now);
         }
-        stood
+        stalled
     }
 
     /// What a waiting reader reads now arrived after this moment.
-    fn first(&self) -> Moment {
+    fn oldest_tick(&self) -> Moment {
         self.0.last_three[0].get()
     }
 }
@@ -77,52 +77,52 @@
     clock: Clock,
     loop_ticks: LoopTicks,
     /// When the socket was last found empty.
-    empty: Cell<Moment>,
+    empty_at: Cell<Moment>,
     /// The lower bound for the bytes that were read last.
-    came: Cell<Moment>,
+    earliest: Cell<Moment>,
     /// The lower bound for bytes that are still in the socket because the last call to read them failed.
-    standing: Cell<Option<Moment>>,
+    unread_since: Cell<Option<Moment>>,
 }
 
 impl ArrivalTimes {
     /// For a socket on which nothing had arrived by the given moment.
-    pub fn new(empty: Moment, clock: Clock, loop_ticks: LoopTicks) -> Self {
-        let standing = Cell::new(None);
-        Self { clock, loop_ticks, empty: Cell::new(empty), came: Cell::new(empty), standing }
+    pub fn new(empty_at: Moment, clock: Clock, loop_ticks: LoopTicks) -> Self {
+        let unread_since = Cell::new(None);
+        Self { clock, loop_ticks, empty_at: Cell::new(empty_at), earliest: Cell::new(empty_at), unread_since }
     }
 
-    /// Reads from the socket: `take` is pending while the socket is empty. It is called again if a signal
+    /// Reads from the socket: `read` is pending while the socket is empty. It is called again if a signal
     /// interrupts it.
-    pub async fn receive<T>(&self, mut take: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-        retried(async || self.taking_once(take()).await).await
+    pub async fn receive<T>(&self, mut read: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+        retry_interrupted(async || self.receive_once(read()).await).await
     }
 
-    async fn taking_once<T>(&self, take: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-        let mut take = std::pin::pin!(take);
-        let waited = Cell::new(false);
-        let taken = future::poll_fn(|context| {
-            let take: Pin<&mut _> = take.as_mut();
-            let polled = take.poll(context);
+    async fn receive_once<T>(&self, read: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+        let mut read = std::pin::pin!(read);
+        let has_waited = Cell::new(false);
+        let outcome = future::poll_fn(|context| {
+            let read: Pin<&mut _> = read.as_mut();
+            let polled = read.poll(context);
             if polled.is_pending() {
-                self.empty.set(self.clock.now());
-                waited.set(true);
+                self.empty_at.set(self.clock.now());
+                has_waited.set(true);
             }
             polled
         });
-        let taken = taken.await;
-        let came = match self.standing.get() {
-            _ if waited.get() => self.empty.get().max(self.loop_ticks.first()),
-            Some(standing) => standing,
-            None => self.empty.get(),
+        let outcome = outcome.await;
+        let earliest = match self.unread_since.get() {
+            _ if has_waited.get() => self.empty_at.get().max(self.loop_ticks.oldest_tick()),
+            Some(unread_since) => unread_since,
+            None => self.empty_at.get(),
         };
-        self.came.set(came);
-        self.standing.set(taken.is_err().then_some(came));
-        taken
+        self.earliest.set(earliest);
+        self.unread_since.set(outcome.is_err().then_some(earliest));
+        outcome
     }
 
     /// The earliest time at which the bytes that were read last may have arrived.
     pub fn earliest_arrival(&self) -> Moment {
-        self.came.get()
+        self.earliest.get()
     }
 
     /// The moment from which the time of a request counts whose last bytes were read last. Threat: a deadline
@@ -130,7 +130,7 @@
     /// stopped, a wait in the accept queue and a client that was not read. Cost: where the bytes arrived late
     /// in a span in which the thread was busy, the request gets less time than it has.
     pub fn request_start(&self) -> Moment {
-        let (now, came) = (self.clock.now(), self.came.get());
-        if now.since(came) <= TOLERANCE { now } else { came }
+        let (now, earliest) = (self.clock.now(), self.earliest.get());
+        if now.since(earliest) <= ARRIVAL_TOLERANCE { now } else { earliest }
     }
 }
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -17,7 +17,7 @@
 use woadhook_router::file_reads::FileReads;
 use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
-use woadhook_router::signals::Heeded;
+use woadhook_router::signals::SignalHandlers;
 use woadhook_router::tasks::Tasks;
 use woadhook_router::{config, keyfiles, serve};
 
@@ -25,15 +25,15 @@
 
 /// How long the shutdown waits for the last log lines to be written. SIGKILL comes 0.1 s after the last
 /// answers are due.
-const LAST_LINES_WITHIN: Duration = Duration::from_millis(50);
+const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 /// How long a router that can't start waits for the reason to be written to its log.
-const FAULT_WITHIN: Duration = Duration::from_secs(1);
+const FAILURE_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A router for queries on a pool of sql engines. Without a command it runs one with the configuration that
 /// `LB_CONFIG` names.
 #[derive(Parser)]
 #[command(name = "woadhook", version)]
-pub struct Line {
+pub struct CommandLine {
     /// Format of log lines; takes precedence over the operator file
     #[arg(long, global = true, value_enum, value_name = "FORMAT")]
     log_format: Option<Format>,
@@ -44,11 +44,11 @@
 #[derive(Subcommand)]
 enum Command {
     /// Runs one router until SIGTERM; on SIGHUP it reads the configuration and the operator file again
-    Run(Run),
+    Run(OperatorArgs),
     /// Checks the operator file and the configuration, and prints the settings
     Check {
         #[command(flatten)]
-        operator: Run,
+        operator: OperatorArgs,
         /// The platform's configuration; by default the file that `LB_CONFIG` names
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Args, Default)]
-struct Run {
+struct OperatorArgs {
     /// The operator file (Jsonnet): settings of this installation beside the platform's configuration
     #[arg(long = "operator", value_name = "FILE", env = "WOADHOOK_OPERATOR")]
     file: Option<PathBuf>,
@@ -78,7 +78,7 @@
     /// Signs a pass with the operator's key
     Admit {
         #[command(flatten)]
-        by: By,
+        signing: SigningArgs,
         /// The instance's name
         #[arg(long)]
         name: String,
@@ -96,8 +96,8 @@
         operator_key: PathBuf,
         #[arg(long)]
         cluster: String,
-        /// Number of the order, higher than that of any earlier one; the first is 1. With a new one the
-        /// voters start over, from what they know
+        /// Number of the order, higher than that of any earlier one; the first is 1. A new one
+        /// starts over with these voters, from what they know
         #[arg(long)]
         epoch: u64,
         /// A voter's public key, 64 hex digits; one to seven voters, preferably three or five in as many
@@ -111,7 +111,7 @@
     /// Adds a key to a list of revocations, signed with the operator's key
     Revoke {
         #[command(flatten)]
-        by: By,
+        signing: SigningArgs,
         /// Days for which the revocation is kept; at least as long as the key's pass is still valid
         #[arg(long, default_value_t = 365, value_parser = clap::value_parser!(u32).range(1..=3650))]
         days: u32,
@@ -122,7 +122,7 @@
 }
 
 #[derive(Args)]
-struct By {
+struct SigningArgs {
     /// The operator's secret key
     #[arg(long, value_name = "FILE")]
     operator_key: PathBuf,
@@ -133,22 +133,22 @@
     member: [u8; 32],
 }
 
-pub fn carry_out(line: Line) -> ExitCode {
-    let done = match line.command {
-        None => run(Run::default(), line.log_format),
+pub fn execute(line: CommandLine) -> ExitCode {
+    let succeeded = match line.command {
+        None => run(OperatorArgs::default(), line.log_format),
         Some(Command::Run(operator)) => run(operator, line.log_format),
-        Some(Command::Check { operator, config }) => said(check(operator.file.as_deref(), config)),
-        Some(Command::Key(key)) => said(on_key(key)),
-        Some(Command::Fields) => said(Ok(page::fields_markdown())),
-        Some(Command::Evaluate { file }) => said(subprocess::run_child(&file)),
+        Some(Command::Check { operator, config }) => print_outcome(check(operator.file.as_deref(), config)),
+        Some(Command::Key(key)) => print_outcome(execute_key_command(key)),
+        Some(Command::Fields) => print_outcome(Ok(page::fields_markdown())),
+        Some(Command::Evaluate { file }) => print_outcome(subprocess::run_child(&file)),
     };
-    if done { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn said(outcome: Result<String, String>) -> bool {
+fn print_outcome(outcome: Result<String, String>) -> bool {
     match &outcome {
-        Ok(words) => print!("{words}"),
-        Err(fault) => eprintln!("{fault}"),
+        Ok(output) => print!("{output}"),
+        Err(error) => eprintln!("{error}"),
     }
     outcome.is_ok()
 }
@@ -160,50 +160,63 @@
 }
 
 /// Runs a router until it has been stopped.
-fn run(Run { file }: Run, format: Option<Format>) -> bool {
+fn run(OperatorArgs { file }: OperatorArgs, format: Option<Format>) -> bool {
     // The signals are caught before anything that may take time. Threat: a signal from the operators that
     // comes earlier would end the process.
-    let signals = Heeded::new();
+    let signals = SignalHandlers::new();
     let operator = file.clone();
     let read = FileReads::new(move || read_operator(operator.as_deref()));
-    let sheet = signals.and_then(|mut signals| {
-        let sheet = async_io::block_on(signals.first(read))?;
-        Ok(sheet.map(|sheet| (sheet, signals)))
+    let operator_file = signals.and_then(|mut signals| {
+        let operator_file = async_io::block_on(signals.read_at_start(read))?;
+        Ok(operator_file.map(|operator_file| (operator_file, signals)))
     });
-    let section = sheet.as_ref().ok().and_then(|sheet| sheet.as_ref()?.0.section("log"));
-    let told = section.filter(|section| section.text("format") == "json").map(|_| Format::Json);
+    let section =
+        operator_file.as_ref().ok().and_then(|operator_file| operator_file.as_ref()?.0.section("log"));
+    let configured_format = section.filter(|section| section.text("format") == "json").map(|_| Format::Json);
     let level = section.map_or("info", |section| section.text("level"));
-    let log = logs::start(format.or(told).unwrap_or(Format::Text), level);
-    let ended = sheet.and_then(|sheet| match sheet {
-        Some((sheet, signals)) => route(sheet, file, signals),
+    let log = logs::start(format.or(configured_format).unwrap_or(Format::Text), level);
+    let outcome = operator_file.and_then(|operator_file| match operator_file {
+        Some((operator_file, signals)) => run_router(operator_file, file, signals),
         None => Ok(()),
     });
-    if let Err(fault) = &ended {
-        fault.lines().for_each(|line| log::error!("{line}"));
+    if let Err(error) = &outcome {
+        error.lines().for_each(|line| log::error!("{line}"));
     }
-    let within = if ended.is_ok() { LAST_LINES_WITHIN } else { FAULT_WITHIN };
-    log.flush(within);
-    ended.is_ok()
+    let flush_timeout = if outcome.is_ok() { SHUTDOWN_FLUSH_TIMEOUT } else { FAILURE_FLUSH_TIMEOUT };
+    log.flush(flush_timeout);
+    outcome.is_ok()
 }
 
 /// Reads the files and starts the router. If a stop signal comes before that, there is nothing to stop.
-fn route(sheet: OperatorFile, file: Option<PathBuf>, mut signals: Heeded) -> Result<(), String> {
-    let named = sheet.clone();
-    let read = FileReads::new(move || Ok((config::read()?, read_keys(&named)?)));
-    let Some((given, keys)) = async_io::block_on(signals.first(read))? else { return Ok(()) };
-    let sections = sheet.section("gossip").zip(sheet.section("accord")).zip(keys);
-    let talk = sections.map(|((talk, accord), keys)| GossipSetup::open(talk, accord, keys)).transpose()?;
-    let listener = TcpListener::bind(given.listen).map_err(|error| format!("{}: {error}", given.listen))?;
+fn run_router(
+    operator_file: OperatorFile, file: Option<PathBuf>, mut signals: SignalHandlers,
+) -> Result<(), String> {
+    let file_for_keys = operator_file.clone();
+    let read = FileReads::new(move || Ok((config::read()?, read_keys(&file_for_keys)?)));
+    let Some((router_config, keys)) = async_io::block_on(signals.read_at_start(read))? else { return Ok(()) };
+    let sections = operator_file.section("gossip").zip(operator_file.section("accord")).zip(keys);
+    let gossip_setup =
+        sections.map(|((gossip, accord), keys)| GossipSetup::open(gossip, accord, keys)).transpose()?;
+    let listener = TcpListener::bind(router_config.listen)
+        .map_err(|error| format!("{}: {error}", router_config.listen))?;
     // Only keys, passes, orders and revocations of the operator file take effect before the next start.
-    let rekeyed = file.filter(|_| talk.is_some()).map(|file| FileReads::new(move || read_keys_again(&file)));
-    let orders = signals.orders(FileReads::new(config::read), rekeyed);
+    let key_reads =
+        file.filter(|_| gossip_setup.is_some()).map(|file| FileReads::new(move || read_keys_again(&file)));
+    let commands = signals.commands(FileReads::new(config::read), key_reads);
     let tasks = Tasks::default();
-    async_io::block_on(tasks.run(serve(tasks, given, listener, orders, talk, &sheet)))
+    async_io::block_on(tasks.run(serve(
+        tasks,
+        router_config,
+        listener,
+        commands,
+        gossip_setup,
+        &operator_file,
+    )))
 }
 
 /// Reads the keys that the operator file names, if it enables gossip.
-fn read_keys(sheet: &OperatorFile) -> Result<Option<Keys>, String> {
-    sheet.section("gossip").map(|section| Keys::read(section, Clock::start().now())).transpose()
+fn read_keys(operator_file: &OperatorFile) -> Result<Option<Keys>, String> {
+    operator_file.section("gossip").map(|section| Keys::read(section, Clock::start().now())).transpose()
 }
 
 fn read_keys_again(file: &Path) -> Result<Box<Keys>, String> {
@@ -213,31 +226,31 @@
 
 fn check(operator: Option<&Path>, config: Option<PathBuf>) -> Result<String, String> {
     let now = Clock::start().now();
-    let mut words = String::new();
+    let mut output = String::new();
     if let Some(file) = operator {
-        let sheet = read_operator(Some(file))?;
-        for (path, value) in sheet.fields() {
-            words.push_str(&format!("{path} = {value}\n"));
+        let operator_file = read_operator(Some(file))?;
+        for (path, value) in operator_file.fields() {
+            output.push_str(&format!("{path} = {value}\n"));
         }
-        let missing = sheet.unreadable_files();
-        if !missing.is_empty() {
-            return Err(missing
+        let unreadable = operator_file.unreadable_files();
+        if !unreadable.is_empty() {
+            return Err(unreadable
                 .iter()
-                .map(|fault| format!("{}: {fault}", file.display()))
+                .map(|error| format!("{}: {error}", file.display()))
                 .collect::<Vec<_>>()
                 .join("\n"));
         }
-        if let Some(section) = sheet.section("gossip") {
-            let keys = Keys::read(section, now).map_err(|fault| format!("{}: {fault}", file.display()))?;
+        if let Some(section) = operator_file.section("gossip") {
+            let keys = Keys::read(section, now).map_err(|error| format!("{}: {error}", file.display()))?;
             let days = keys.identity.until().since(now).secs() / 86_400.0;
-            if let Some(order) = &keys.order {
-                words.push_str(&said_of(order));
+            if let Some(voter_set) = &keys.order {
+                output.push_str(&describe_voter_set(voter_set));
             }
-            if let Some(accord) = sheet.section("accord") {
-                woadhook_router::gossip::agreement(accord)
-                    .map_err(|fault| format!("{}: {fault}", file.display()))?;
+            if let Some(accord) = operator_file.section("accord") {
+                woadhook_router::gossip::accord_config(accord)
+                    .map_err(|error| format!("{}: {error}", file.display()))?;
             }
-            words.push_str(&format!(
+            output.push_str(&format!(
                 "member {} {}, pass ends in {days:.0} days\n",
                 keys.identity.name(),
                 keys.identity.id()
@@ -248,24 +261,27 @@
     if let Some(path) = path {
         let shown = path.display();
         let text = config::read_file(&path)?;
-        let given = config::parse(&text, None).map_err(|fault| format!("{shown}: {fault}"))?;
-        Instance::start(now, given.seed, &given.settings)
-            .map_err(|fault| format!("{shown}: settings: {fault}"))?;
-        words.push_str(&format!(
+        let router_config = config::parse(&text, None).map_err(|error| format!("{shown}: {error}"))?;
+        Instance::start(now, router_config.seed, &router_config.settings)
+            .map_err(|error| format!("{shown}: settings: {error}"))?;
+        output.push_str(&format!(
             "listen = {}\nbulletin = {}\nmemory_mb = {}\nsockets = {}\n",
-            given.listen, given.bulletin, given.memory_mb, given.descriptors
+            router_config.listen,
+            router_config.discovery_address,
+            router_config.memory_mb,
+            router_config.max_descriptors
         ));
     } else if operator.is_none() {
         return Err("nothing to check: give --operator FILE, --config FILE or LB_CONFIG".to_owned());
     }
-    Ok(words)
+    Ok(output)
 }
 
 fn days(count: u32) -> Span {
     Span::from_micros(u64::from(count) * 86_400_000_000)
 }
 
-fn on_key(key: Key) -> Result<String, String> {
+fn execute_key_command(key: Key) -> Result<String, String> {
     let now = Clock::start().now();
     match key {
         Key::New { file } => {
@@ -275,14 +291,14 @@
             keyfiles::write_secret(&file, &secret)?;
             Ok(format!("{}\n", public_key_to_text(&secret.public())))
         }
-        Key::Show { file } => show(&file),
-        Key::Admit { by, name, days: count, to } => {
-            let operator = keyfiles::read_secret(&by.operator_key)?;
+        Key::Show { file } => describe_file(&file),
+        Key::Admit { signing, name, days: count, to } => {
+            let operator = keyfiles::read_secret(&signing.operator_key)?;
             let pass = Pass::issue(
                 &operator,
                 &name,
-                by.member,
-                ClusterId::from_name(&by.cluster),
+                signing.member,
+                ClusterId::from_name(&signing.cluster),
                 now,
                 now + days(count),
             )?;
@@ -291,37 +307,42 @@
         }
         Key::Order { operator_key, cluster, epoch, voters, to } => {
             let operator = keyfiles::read_secret(&operator_key)?;
-            let order = VoterSet::issue(&operator, ClusterId::from_name(&cluster), epoch, &voters)?;
-            keyfiles::write_new(&to, order.to_text().as_bytes(), 0o644)?;
-            Ok(said_of(&order))
+            let voter_set = VoterSet::issue(&operator, ClusterId::from_name(&cluster), epoch, &voters)?;
+            keyfiles::write_new(&to, voter_set.to_text().as_bytes(), 0o644)?;
+            Ok(describe_voter_set(&voter_set))
         }
-        Key::Revoke { by, days: count, list } => {
-            let operator = keyfiles::read_secret(&by.operator_key)?;
-            let mut listed = if list.exists() { keyfiles::read_revocations(&list)? } else { Vec::new() };
-            let new = Revocation::issue(
+        Key::Revoke { signing, days: count, list } => {
+            let operator = keyfiles::read_secret(&signing.operator_key)?;
+            let mut revocations = if list.exists() { keyfiles::read_revocations(&list)? } else { Vec::new() };
+            let revocation = Revocation::issue(
                 &operator,
-                &by.member,
-                ClusterId::from_name(&by.cluster),
+                &signing.member,
+                ClusterId::from_name(&signing.cluster),
                 now + days(count),
             );
-            listed.retain(|old| old.member != new.member && old.until > now);
-            listed.push(new);
-            keyfiles::write_revocations(&list, &listed)?;
-            Ok(format!("{} is revoked; {} on the list\n", MemberId::of_key(&by.member), listed.len()))
+            revocations.retain(|old| old.member != revocation.member && old.until > now);
+            revocations.push(revocation);
+            keyfiles::write_revocations(&list, &revocations)?;
+            Ok(format!(
+                "{} is revoked; {} on the list\n",
+                MemberId::of_key(&signing.member),
+                revocations.len()
+            ))
         }
     }
 }
 
-fn said_of(order: &VoterSet) -> String {
-    let voters: Vec<String> = order.voters.iter().map(MemberId::to_string).collect();
-    format!("epoch {} with {} voters: {}\n", order.epoch, voters.len(), voters.join(" "))
+fn describe_voter_set(voter_set: &VoterSet) -> String {
+    let voters: Vec<String> = voter_set.voters.iter().map(MemberId::to_string).collect();
+    format!("epoch {} with {} voters: {}\n", voter_set.epoch, voters.len(), voters.join(" "))
 }
 
-fn show(file: &Path) -> Result<String, String> {
+fn describe_file(file: &Path) -> Result<String, String> {
     if let Ok(pass) = keyfiles::read_pass(file) {
         let now = Clock::start().now();
-        let left = pass.until.since(now).secs() / 86_400.0;
-        let state = if left > 0.0 { format!("ends in {left:.1} days") } else { "has ended".to_owned() };
+        let days_left = pass.until.since(now).secs() / 86_400.0;
+        let state =
+            if days_left > 0.0 { format!("ends in {days_left:.1} days") } else { "has ended".to_owned() };
         return Ok(format!(
             "pass of {} ({}), {state}\nkey {}\n",
             pass.name,
@@ -329,8 +350,8 @@
             public_key_to_text(&pass.key)
         ));
     }
-    if let Ok(order) = keyfiles::read_order(file) {
-        return Ok(said_of(&order));
+    if let Ok(voter_set) = keyfiles::read_order(file) {
+        return Ok(describe_voter_set(&voter_set));
     }
     if let Ok(list) = keyfiles::read_revocations(file) {
         return Ok(list.iter().map(|each| format!("revoked {}\n", each.member)).collect());
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -38,7 +38,7 @@
     ClientGone {
         client: u64,
     },
-    /// The client of this job was found gone right before a dispatch.
+    /// The client of this job was found to be gone right before a dispatch.
     JobAbandoned {
         job: JobId,
     },
@@ -72,8 +72,8 @@
         engine: EngineId,
         outcome: Outcome,
     },
-    /// Changes of the engine list; the answer says whether they could be read. With `in_part`, lines that
-    /// can't be read are left out.
+    /// Changes of the engine list; the answer says whether they could be read. With `skip_malformed`, lines
+    /// that can't be read are left out.
     ListReceived {
         roster: Value,
         event_time: EventTime,
@@ -117,23 +117,23 @@
 /// a busy thread or a connection that is not up yet, and its message is still in a mailbox or unread in its
 /// socket. So each dispatch checks this right before its first byte.
 pub struct WaitingClient {
-    taken_back: Cell<bool>,
+    is_withdrawn: Cell<bool>,
     connected: Box<dyn Fn() -> bool>,
 }
 
 impl WaitingClient {
     /// `connected` checks the client's connection itself.
     pub fn new(connected: impl Fn() -> bool + 'static) -> Self {
-        Self { taken_back: Cell::new(false), connected: Box::new(connected) }
+        Self { is_withdrawn: Cell::new(false), connected: Box::new(connected) }
     }
 
     /// Records that the client no longer waits.
     pub fn withdraw(&self) {
-        self.taken_back.set(true);
+        self.is_withdrawn.set(true);
     }
 
     pub fn is_waiting(&self) -> bool {
-        !self.taken_back.get() && (self.connected)()
+        !self.is_withdrawn.get() && (self.connected)()
     }
 }
 
@@ -154,12 +154,12 @@
 /// A complete result, and the memory it takes.
 pub struct QueryResult {
     pub pages: Vec<Vec<u8>>,
-    _held: MemoryPermit,
+    _memory: MemoryPermit,
 }
 
 impl QueryResult {
-    pub fn new(pages: Vec<Vec<u8>>, held: MemoryPermit) -> Self {
-        Self { pages, _held: held }
+    pub fn new(pages: Vec<Vec<u8>>, memory: MemoryPermit) -> Self {
+        Self { pages, _memory: memory }
     }
 }
 
@@ -173,30 +173,30 @@
 
 /// The right to answer one request, once. If it is dropped unused, no answer is owed any more.
 pub struct Responder {
-    number: u32,
-    give: Box<dyn FnOnce(Answer)>,
+    request_number: u32,
+    deliver: Box<dyn FnOnce(Answer)>,
 }
 
 impl Responder {
-    /// `give` owns what is released once the answer is written or no longer owed.
-    pub fn new(number: u32, give: impl FnOnce(Answer) + 'static) -> Self {
-        Self { number, give: Box::new(give) }
+    /// `deliver` owns what is released once the answer is written or no longer owed.
+    pub fn new(request_number: u32, deliver: impl FnOnce(Answer) + 'static) -> Self {
+        Self { request_number, deliver: Box::new(deliver) }
     }
 
     /// The number that the client gave its request.
     pub fn request_number(&self) -> u32 {
-        self.number
+        self.request_number
     }
 
     pub fn send(self, answer: Answer) {
-        (self.give)(answer);
+        (self.deliver)(answer);
     }
 }
 
 /// An event that the router passes on to the gossip actor.
 pub enum GossipEvent {
-    EngineJudged { engine: String, seen: EngineCondition },
-    DispatchEnded { engine: String, of: String, outcome: Outcome },
+    EngineJudged { engine: String, condition: EngineCondition },
+    DispatchEnded { engine: String, reservation_type: String, outcome: Outcome },
     ProbeAnswered { engine: String },
     KeysReloaded(Box<Keys>),
     Stopping,
@@ -208,24 +208,24 @@
 /// Sends to the gossip actor.
 #[derive(Clone)]
 pub struct GossipHandle {
-    notes: Sender<GossipEvent>,
+    events: Sender<GossipEvent>,
     /// Holds the latest list only.
     lists: Sender<EngineList>,
 }
 
 /// Capacity of the queue of events; those that don't fit are dropped, which loses one observation each.
-const NOTES: usize = 1024;
+const MAX_QUEUED_EVENTS: usize = 1024;
 
 impl GossipHandle {
     /// Creates the handle and the receivers of events and lists.
     pub fn new() -> (Self, Receiver<GossipEvent>, Receiver<EngineList>) {
-        let (notes, taken) = async_channel::bounded(NOTES);
-        let (lists, listed) = async_channel::bounded(1);
-        (Self { notes, lists }, taken, listed)
+        let (events, queued_events) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let (lists, latest_list) = async_channel::bounded(1);
+        (Self { events, lists }, queued_events, latest_list)
     }
 
-    pub fn send(&self, note: GossipEvent) {
-        let _ = self.notes.try_send(note);
+    pub fn send(&self, event: GossipEvent) {
+        let _ = self.events.try_send(event);
     }
 
     pub fn send_list(&self, list: EngineList) {
--- a/crates/router/src/faults.rs
+++ b/crates/router/src/faults.rs
@@ -60,15 +60,15 @@
 impl fmt::Display for CallError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoDescriptor => out.write_str("no descriptor in time"),
+            Self::NoDescriptor => out.write_str("no descriptor became free in time"),
             Self::NoConnectionInTime => out.write_str("no connection in time"),
             Self::NoAnswerInTime => out.write_str("no answer in time"),
             Self::TooSlow(figures) => write!(out, "too slow: {figures}"),
             Self::Local(error) => write!(out, "failed on this machine: {error}"),
             Self::Refused => out.write_str("connection refused"),
             Self::Unreachable(error) => write!(out, "unreachable: {error}"),
-            Self::Broken(error) => write!(out, "broke: {error}"),
-            Self::Malformed(what) => write!(out, "makes no sense: {what}"),
+            Self::Broken(error) => write!(out, "connection broke: {error}"),
+            Self::Malformed(what) => write!(out, "malformed answer: {what}"),
         }
     }
 }
--- a/crates/router/src/file_reads.rs
+++ b/crates/router/src/file_reads.rs
@@ -13,46 +13,57 @@
 pub const MAX_CONCURRENT_READS: usize = 4;
 const STACK_BYTES: usize = 512 * 1024;
 
-type Outcome<T> = Result<T, String>;
+type ReadOutcome<T> = Result<T, String>;
 
 /// Repeated reads of the same files.
 pub struct FileReads<T> {
-    read: Arc<dyn Fn() -> Outcome<T> + Send + Sync>,
-    ended: Sender<(u64, Outcome<T>)>,
-    ends: Receiver<(u64, Outcome<T>)>,
+    read: Arc<dyn Fn() -> ReadOutcome<T> + Send + Sync>,
+    outcome_sender: Sender<(u64, ReadOutcome<T>)>,
+    outcome_receiver: Receiver<(u64, ReadOutcome<T>)>,
     /// The number of the read that was started last.
-    started: u64,
+    last_started: u64,
     /// The number of the latest successful read whose outcome was taken.
-    taken: u64,
+    last_taken: u64,
     under_way: usize,
     /// Whether a read was requested while the maximum number of reads was under way.
-    is_owed: bool,
+    is_requested: bool,
 }
 
 impl<T: Send + 'static> FileReads<T> {
-    pub fn new(read: impl Fn() -> Outcome<T> + Send + Sync + 'static) -> Self {
+    pub fn new(read: impl Fn() -> ReadOutcome<T> + Send + Sync + 'static) -> Self {
         // The capacity covers all concurrent reads, so that no thread waits to report its end.
-        let (ended, ends) = async_channel::bounded(MAX_CONCURRENT_READS);
-        Self { read: Arc::new(read), ended, ends, started: 0, taken: 0, under_way: 0, is_owed: false }
+        let (outcome_sender, outcome_receiver) = async_channel::bounded(MAX_CONCURRENT_READS);
+        Self {
+            read: Arc::new(read),
+            outcome_sender,
+            outcome_receiver,
+            last_started: 0,
+            last_taken: 0,
+            under_way: 0,
+            is_requested: false,
+        }
     }
 
     /// Starts another read, now or once one has ended.
     pub fn start(&mut self) {
         if self.under_way == MAX_CONCURRENT_READS {
-            log::warn!(event = "file_read_waits", under_way = self.under_way; "{MAX_CONCURRENT_READS} reads are under way and don't come: the next waits for one to end");
-            self.is_owed = true;
+            log::warn!(event = "file_read_waits", under_way = self.under_way; "{MAX_CONCURRENT_READS} file reads are blocked: the next read starts once one of them ends");
+            self.is_requested = true;
             return;
         }
-        self.started += 1;
+        self.last_started += 1;
         self.under_way += 1;
-        let (number, read, ended) = (self.started, self.read.clone(), self.ended.clone());
+        let (number, read, outcome_sender) =
+            (self.last_started, self.read.clone(), self.outcome_sender.clone());
         let run = move || {
             let outcome = read();
-            let _ = ended.try_send((number, outcome));
+            let _ = outcome_sender.try_send((number, outcome));
         };
         let thread = thread::Builder::new().name("file-read".to_owned()).stack_size(STACK_BYTES).spawn(run);
         if let Err(error) = thread {
-            let _ = self.ended.try_send((number, Err(format!("no thread to read on: {error}"))));
+            let _ = self
+                .outcome_sender
+                .try_send((number, Err(format!("failed to start a thread for the read: {error}"))));
         }
     }
 
@@ -62,17 +73,19 @@
 
     /// Returns the next outcome. Skips a successful read that a later successful one has overtaken; stays
     /// pending while no read is under way.
-    pub async fn next(&mut self) -> Outcome<T> {
+    pub async fn next(&mut self) -> ReadOutcome<T> {
         loop {
-            let Ok((number, outcome)) = self.ends.recv().await else { return future::pending().await };
+            let Ok((number, outcome)) = self.outcome_receiver.recv().await else {
+                return future::pending().await;
+            };
             self.under_way -= 1;
-            if std::mem::take(&mut self.is_owed) {
+            if std::mem::take(&mut self.is_requested) {
                 self.start();
             }
-            let good = outcome?;
-            if number > self.taken {
-                self.taken = number;
-                return Ok(good);
+            let content = outcome?;
+            if number > self.last_taken {
+                self.last_taken = number;
+                return Ok(content);
             }
         }
     }
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -13,10 +13,10 @@
 use crate::clock::Clock;
 
 /// A thread that stalled for longer than this fraction of the grace may have missed a notice.
-const STOOD_PART: f64 = 0.25;
+const STALL_FRACTION: f64 = 0.25;
 /// Fraction of the grace for which a fresh list is awaited at most: if discovery is unreachable, the old list
 /// stays in use.
-const AWAITED_PART: f64 = 0.25;
+const MAX_WAIT_FRACTION: f64 = 0.25;
 
 /// The age of the list, as discovery and queries share it. Clones share the state.
 #[derive(Clone)]
@@ -25,38 +25,38 @@
 struct Inner {
     clock: Clock,
     loop_ticks: LoopTicks,
-    stood_for: Span,
-    awaited_for: Span,
+    stall_threshold: Span,
+    max_wait: Span,
     /// When the last stall was detected; `None` once a list that was requested after it has come, or the wait
     /// for one has ended.
-    woke: Cell<Option<Moment>>,
+    stalled_at: Cell<Option<Moment>>,
     became_fresh: Event,
 }
 
 impl ListFreshness {
     pub fn new(clock: Clock, loop_ticks: LoopTicks, grace: Span) -> Self {
-        let (stood_for, awaited_for) = (grace.mul_f64(STOOD_PART), grace.mul_f64(AWAITED_PART));
-        let (woke, became_fresh) = (Cell::new(None), Event::new());
-        Self(Rc::new(Inner { clock, loop_ticks, stood_for, awaited_for, woke, became_fresh }))
+        let (stall_threshold, max_wait) = (grace.mul_f64(STALL_FRACTION), grace.mul_f64(MAX_WAIT_FRACTION));
+        let (stalled_at, became_fresh) = (Cell::new(None), Event::new());
+        Self(Rc::new(Inner { clock, loop_ticks, stall_threshold, max_wait, stalled_at, became_fresh }))
     }
 
     /// Whether the thread stalled and no list that was requested after the stall has come.
     pub fn is_stale(&self) -> bool {
-        let Inner { clock, loop_ticks, stood_for, awaited_for, woke, .. } = &*self.0;
+        let Inner { clock, loop_ticks, stall_threshold, max_wait, stalled_at, .. } = &*self.0;
         let now = clock.now();
-        if loop_ticks.has_stalled(now, *stood_for) {
-            woke.set(Some(now));
+        if loop_ticks.has_stalled(now, *stall_threshold) {
+            stalled_at.set(Some(now));
         }
-        if woke.get().is_some_and(|woke| now >= woke + *awaited_for) {
-            woke.set(None);
+        if stalled_at.get().is_some_and(|stalled_at| now >= stalled_at + *max_wait) {
+            stalled_at.set(None);
         }
-        woke.get().is_some()
+        stalled_at.get().is_some()
     }
 
     /// Notes that the answer to a discovery call that began at the given moment has been applied.
     pub fn list_received(&self, began: Moment) {
-        if self.0.woke.get().is_some_and(|woke| began >= woke) {
-            self.0.woke.set(None);
+        if self.0.stalled_at.get().is_some_and(|stalled_at| began >= stalled_at) {
+            self.0.stalled_at.set(None);
             self.0.became_fresh.notify(usize::MAX);
         }
     }
@@ -66,8 +66,8 @@
     pub async fn wait_until_fresh(&self) {
         while self.is_stale() {
             let became_fresh = self.0.became_fresh.listen();
-            let Some(woke) = self.0.woke.get() else { return };
-            became_fresh.or(self.0.clock.sleep_until(woke + self.0.awaited_for)).await;
+            let Some(stalled_at) = self.0.stalled_at.get() else { return };
+            became_fresh.or(self.0.clock.sleep_until(stalled_at + self.0.max_wait)).await;
         }
     }
 }
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -20,10 +20,10 @@
 
 /// Maximum number of datagrams that are taken in before other tasks run: each may cost a few signature
 /// checks, about 0.2 ms in total.
-const TURN: usize = 4;
+const MAX_DATAGRAMS_PER_TURN: usize = 4;
 
 /// Pause after a failed read of the socket.
-const PAUSE: Span = Span::from_micros(20_000);
+const READ_ERROR_PAUSE: Span = Span::from_micros(20_000);
 
 /// What the gossip actor needs to start.
 pub struct GossipSetup {
@@ -48,14 +48,14 @@
             keys,
             advertised_address: section.address("advertise").unwrap_or(bound),
             seeds: section.address_list("seeds"),
-            pace: pace(section),
-            accord: agreement(accord)?,
+            pace: gossip_config(section),
+            accord: accord_config(accord)?,
         })
     }
 }
 
 /// Reads the rates, times and limits of gossip from the operator file's section.
-pub fn pace(section: Section<'_>) -> GossipConfig {
+pub fn gossip_config(section: Section<'_>) -> GossipConfig {
     let millis = |field| Span::from_micros(section.integer(field) * 1000);
     GossipConfig {
         period: millis("period_ms"),
@@ -69,13 +69,13 @@
 }
 
 /// Reads the times of the agreement, or returns what is wrong with the section.
-pub fn agreement(section: Section<'_>) -> Result<woadhook_accord::AccordConfig> {
-    agreement::pace(section)
+pub fn accord_config(section: Section<'_>) -> Result<woadhook_accord::AccordConfig> {
+    agreement::accord_config(section)
 }
 
 /// Starts the actor; it sends what it receives to the decision module.
 pub fn start(
-    talk: GossipSetup, clock: Clock, seed: u64, tasks: Tasks, module: Sender<Event>,
+    setup: GossipSetup, clock: Clock, seed: u64, tasks: Tasks, events: Sender<Event>,
 ) -> Result<GossipHandle> {
     let GossipSetup {
         socket,
@@ -84,9 +84,9 @@
         seeds,
         pace,
         accord,
-    } = talk;
+    } = setup;
     let socket = Async::new(socket).map_err(|error| format!("gossip: {error}"))?;
-    log::info!(event = "gossip_started", member = identity.name(), address:% = address; "talking with other instances");
+    log::info!(event = "gossip_started", member = identity.name(), address:% = address; "gossip started");
     // The seeds differ from the module's own.
     let agreement =
         Agreement::start(clock.now(), seed.rotate_left(31), rand::random(), identity.id(), accord);
@@ -94,14 +94,14 @@
     if let Some(order) = order {
         core.accept_voter_set(order);
     }
-    let (notes, taken, listed) = GossipHandle::new();
-    tasks.spawn(run(core, agreement, socket, clock, taken, listed, module));
-    Ok(notes)
+    let (handle, queued_events, latest_list) = GossipHandle::new();
+    tasks.spawn(run(core, agreement, socket, clock, queued_events, latest_list, events));
+    Ok(handle)
 }
 
-enum Heard {
+enum Input {
     Datagram(io::Result<(usize, SocketAddr)>),
-    Note(GossipEvent),
+    Event(GossipEvent),
     List(EngineList),
     Due,
     Ended,
@@ -109,7 +109,7 @@
 
 async fn run(
     mut core: Gossip, mut agreement: Agreement, socket: Async<UdpSocket>, clock: Clock,
-    notes: Receiver<GossipEvent>, lists: Receiver<EngineList>, module: Sender<Event>,
+    gossip_events: Receiver<GossipEvent>, lists: Receiver<EngineList>, events: Sender<Event>,
 ) {
     // One byte more than allowed, so that datagrams that are too long are detected.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -117,49 +117,51 @@
         loop {
             let now = clock.now();
             agreement.run_actions(now, &mut core);
-            let Some(to_do) = core.next_action(now) else { break };
-            carry_out(to_do, now, &mut agreement, &socket, &module);
+            let Some(action) = core.next_action(now) else { break };
+            execute(action, now, &mut agreement, &socket, &events);
         }
         let due = [core.next_deadline(), agreement.next_deadline()].into_iter().flatten().min();
-        let datagram = async { Heard::Datagram(socket.recv_from(&mut buffer).await) };
-        let note = async { notes.recv().await.map_or(Heard::Ended, Heard::Note) };
-        let list = async { lists.recv().await.map_or(Heard::Ended, Heard::List) };
+        let datagram = async { Input::Datagram(socket.recv_from(&mut buffer).await) };
+        let event = async { gossip_events.recv().await.map_or(Input::Ended, Input::Event) };
+        let list = async { lists.recv().await.map_or(Input::Ended, Input::List) };
         let timer = async {
             match due {
                 Some(moment) => clock.sleep_until(moment).await,
                 None => future::pending().await,
             }
-            Heard::Due
+            Input::Due
         };
-        let heard = timer.or(list).or(note).or(datagram).await;
+        let input = timer.or(list).or(event).or(datagram).await;
         let now = clock.now();
-        match heard {
-            Heard::Datagram(Ok((length, from))) => {
+        match input {
+            Input::Datagram(Ok((length, from))) => {
                 core.receive(now, from, &buffer[..length]);
-                for _ in 1..TURN {
+                for _ in 1..MAX_DATAGRAMS_PER_TURN {
                     let Ok((length, from)) = socket.get_ref().recv_from(&mut buffer) else { break };
                     core.receive(now, from, &buffer[..length]);
                 }
                 future::yield_now().await;
             }
             // The error may last and must not keep the thread busy; members notice by their pings.
-            Heard::Datagram(Err(_)) => sleep(PAUSE).await,
-            Heard::Note(note) => take_in(&mut core, now, note),
-            Heard::List(list) => core.set_engines(&list),
-            Heard::Due => {}
-            Heard::Ended => return,
+            Input::Datagram(Err(_)) => sleep(READ_ERROR_PAUSE).await,
+            Input::Event(event) => handle_event(&mut core, now, event),
+            Input::List(list) => core.set_engines(&list),
+            Input::Due => {}
+            Input::Ended => return,
         }
     }
 }
 
-fn take_in(core: &mut Gossip, now: Moment, note: GossipEvent) {
-    match note {
-        GossipEvent::EngineJudged { engine, seen } => core.engine_judged(now, &engine, seen),
-        GossipEvent::DispatchEnded { engine, of, outcome } => core.dispatch_ended(now, &engine, &of, outcome),
+fn handle_event(core: &mut Gossip, now: Moment, event: GossipEvent) {
+    match event {
+        GossipEvent::EngineJudged { engine, condition } => core.engine_judged(now, &engine, condition),
+        GossipEvent::DispatchEnded { engine, reservation_type, outcome } => {
+            core.dispatch_ended(now, &engine, &reservation_type, outcome)
+        }
         GossipEvent::ProbeAnswered { engine } => core.probe_answered(now, &engine),
         GossipEvent::KeysReloaded(keys) => {
             let Keys { identity, ring, order } = *keys;
-            log::info!(event = "gossip_rekeyed", member = identity.name(); "keys were read again");
+            log::info!(event = "gossip_rekeyed", member = identity.name(); "keys reloaded");
             core.rekey(now, identity, ring);
             if let Some(order) = order {
                 core.accept_voter_set(order);
@@ -169,10 +171,10 @@
     }
 }
 
-fn carry_out(
-    to_do: Action, now: Moment, agreement: &mut Agreement, socket: &Async<UdpSocket>, module: &Sender<Event>,
+fn execute(
+    action: Action, now: Moment, agreement: &mut Agreement, socket: &Async<UdpSocket>, events: &Sender<Event>,
 ) {
-    match to_do {
+    match action {
         Action::VoterSet { epoch, voters } => agreement.apply_voter_set(now, epoch, &voters),
         Action::DirectMessage { from, bytes } => agreement.receive(now, from, &bytes),
         Action::Notice { from, subject, payload } => agreement.receive_notice(now, from, subject, &payload),
@@ -180,8 +182,8 @@
         Action::Send { to, bytes } => {
             let _ = socket.get_ref().send_to(&bytes, to);
         }
-        Action::PeerReport { engine, reservation_type: of, suspicion: doubt } => {
-            let _ = module.try_send(Event::PeerReport { engine, reservation_type: of, suspicion: doubt });
+        Action::PeerReport { engine, reservation_type, suspicion } => {
+            let _ = events.try_send(Event::PeerReport { engine, reservation_type, suspicion });
         }
         Action::Event { kind, member, engine, condition } => {
             let (member, engine) = (member.unwrap_or_default(), engine.unwrap_or_default());
--- a/crates/router/src/guards.rs
+++ b/crates/router/src/guards.rs
@@ -9,7 +9,7 @@
 
 use woadhook::Moment;
 
-use crate::log_queue::lines_dropped;
+use crate::log_queue::dropped_lines;
 
 /// A step that has a guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -81,27 +81,27 @@
 
 /// What is known of a job's earlier dispatches.
 #[derive(Clone, Copy, Default)]
-pub struct Earlier {
+pub struct EarlierDispatches {
     /// Whether jobs of its type must not run twice.
     pub run_once: bool,
     /// Whether a dispatch may have run, judging by how it ended.
     pub may_have_run: bool,
     /// Whether a dispatch is in flight, where only one is allowed at a time.
-    pub one_out: bool,
+    pub another_in_flight: bool,
     /// Whether another job of the same order key is in flight.
-    pub key_out: bool,
+    pub key_in_flight: bool,
 }
 
-impl Earlier {
+impl EarlierDispatches {
     /// Whether a further dispatch may go out.
     pub fn check(&self) -> Result<(), Refusal> {
         if self.run_once && self.may_have_run {
             return Err(Refusal::MayHaveRun);
         }
-        if self.one_out {
+        if self.another_in_flight {
             return Err(Refusal::AnotherOut);
         }
-        if self.key_out {
+        if self.key_in_flight {
             return Err(Refusal::KeyOut);
         }
         Ok(())
@@ -109,7 +109,11 @@
 
     /// Whether the job may be rejected with the guarantee that it had no effect.
     pub fn check_rejection(&self) -> Result<(), Refusal> {
-        if self.run_once && (self.may_have_run || self.one_out) { Err(Refusal::MayHaveRun) } else { Ok(()) }
+        if self.run_once && (self.may_have_run || self.another_in_flight) {
+            Err(Refusal::MayHaveRun)
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -133,7 +137,7 @@
     /// Records a step that was taken, or was about to be, in spite of its guard.
     pub fn record_violation(&self, step: Step, why: Refusal, request: &str) {
         self.0.violations.set(self.0.violations.get() + 1);
-        log::error!(event = "violation", step:? = step, why:? = why, job = request; "violation: {step:?} in spite of {why:?}");
+        log::error!(event = "violation", step:? = step, why:? = why, job = request; "violation: {step:?} despite {why:?}");
     }
 
     /// Writes the counts to the log.
@@ -142,7 +146,7 @@
         let lines: Vec<String> =
             refused.iter().map(|((step, why), count)| format!("{step:?}/{why:?}={count}")).collect();
         let (refused, violations) = (lines.join(" "), self.0.violations.get());
-        let log_lines_dropped = lines_dropped();
+        let log_lines_dropped = dropped_lines();
         log::info!(event = "counters", violations, refused = refused.as_str(), log_lines_dropped; "violations {violations}, refused: {refused}, log lines dropped {log_lines_dropped}");
     }
 }
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -11,15 +11,15 @@
 
 use crate::clock::Clock;
 use crate::faults::CallError;
-use crate::sockets::{FirstByte, PendingInput, Progress, Socket, read, write_gathered};
+use crate::sockets::{FirstByte, PendingInput, Socket, WriteProgress, read, write_gathered};
 
-const HEAD_BYTES: usize = 4 * 1024;
-const HEAD_FIELDS: usize = 48;
-const READ_BYTES: usize = 4 * 1024;
+const MAX_HEAD_BYTES: usize = 4 * 1024;
+const MAX_HEAD_FIELDS: usize = 48;
+const READ_CHUNK_BYTES: usize = 4 * 1024;
 type Result<T> = std::result::Result<T, CallError>;
 
 /// Maximum number of interim (1xx) answers before the final one.
-const INTERIM: usize = 8;
+const MAX_INTERIM_ANSWERS: usize = 8;
 
 /// How much of the current answer has been received, shared with whoever waits for it.
 #[derive(Clone, Default)]
@@ -31,29 +31,29 @@
     pub first_byte_at: Moment,
     pub last_byte_at: Moment,
     pub bytes: usize,
-    watch: RateMonitor,
+    monitor: RateMonitor,
 }
 
 impl Received {
     /// The moment at which the answer counts as too slow if nothing more arrives.
     pub fn due(&self) -> Moment {
-        self.watch.deadline()
+        self.monitor.deadline()
     }
 }
 
 impl ResponseProgress {
-    fn moved(&self, clock: Clock, least: MinRate, bytes: usize) {
+    fn record(&self, clock: Clock, min_rate: MinRate, bytes: usize) {
         let now = clock.now();
         let new = Received {
             first_byte_at: now,
             last_byte_at: now,
             bytes: 0,
-            watch: RateMonitor::start(now, least),
+            monitor: RateMonitor::start(now, min_rate),
         };
-        let mut came = self.0.get().unwrap_or(new);
-        came.watch.record(now, bytes);
-        (came.last_byte_at, came.bytes) = (now, came.bytes + bytes);
-        self.0.set(Some(came));
+        let mut received = self.0.get().unwrap_or(new);
+        received.monitor.record(now, bytes);
+        (received.last_byte_at, received.bytes) = (now, received.bytes + bytes);
+        self.0.set(Some(received));
     }
 
     /// `None` before the first byte.
@@ -87,17 +87,17 @@
     /// The length of the head in the buffer, in bytes.
     length: usize,
     /// Whether the peer keeps the connection open.
-    kept: bool,
+    keeps_open: bool,
     body: Body,
 }
 
 impl Connection {
-    pub fn new(link: Socket, clock: Clock) -> Self {
-        let least = MinRate { bytes_per_s: 0.0, grace: Span::ZERO };
+    pub fn new(socket: Socket, clock: Clock) -> Self {
+        let min_rate = MinRate { bytes_per_s: 0.0, grace: Span::ZERO };
         Self {
-            socket: link,
+            socket,
             response_progress: ResponseProgress::default(),
-            min_rate: least,
+            min_rate,
             clock,
             buffer: Vec::new(),
             reusable: true,
@@ -111,92 +111,94 @@
         self.reusable && self.socket.is_quiet()
     }
 
-    /// Makes one call and returns the status and the body of its answer, of at most `most` bytes. `field` is
-    /// called with each field of the answer's head, and `wrote` with the number of bytes of each write. An
-    /// answer that is followed by further bytes is rejected, as its length may not be the true one.
+    /// Makes one call and returns the status and the body of its answer, of at most `max_body_bytes` bytes.
+    /// `on_field` is called with each field of the answer's head, and `wrote` with the number of bytes of
+    /// each write. An answer that is followed by further bytes is rejected, as its length may not be the true
+    /// one.
     pub async fn call(
-        &mut self, head: &str, body: &[u8], most: usize, mut wrote: impl FnMut(usize),
-        mut field: impl FnMut(&str, &str),
+        &mut self, head: &str, body: &[u8], max_body_bytes: usize, mut on_write: impl FnMut(usize),
+        mut on_field: impl FnMut(&str, &str),
     ) -> Result<(u16, Vec<u8>)> {
         self.reusable = false;
         self.response_progress.0.set(None);
         let parts = [head.as_bytes(), body];
         let progress = |progress| {
-            if let Progress::Written(bytes) = progress {
-                wrote(bytes);
+            if let WriteProgress::Written(bytes) = progress {
+                on_write(bytes);
             }
         };
-        let written = write_gathered(&self.socket.stream, &parts, FirstByte::AtOnce, progress).await;
+        let written =
+            write_gathered(&self.socket.stream, &parts, FirstByte::FailIfInterrupted, progress).await;
         written.map_err(CallError::of_write)?;
         let mut interim = 0;
         let head = loop {
-            match parse(&self.buffer, &mut field)? {
+            match parse(&self.buffer, &mut on_field)? {
                 Some(head) if head.status >= 200 => break head,
-                Some(head) if interim < INTERIM => {
+                Some(head) if interim < MAX_INTERIM_ANSWERS => {
                     self.buffer.drain(..head.length);
                     interim += 1;
                 }
-                Some(_) => return Err(broken("interim answers")),
-                None if self.buffer.len() >= HEAD_BYTES => return Err(broken("head too long")),
+                Some(_) => return Err(malformed("too many interim answers")),
+                None if self.buffer.len() >= MAX_HEAD_BYTES => return Err(malformed("head too long")),
                 None => self.read_more().await?,
             }
         };
         self.buffer.drain(..head.length);
         let body = match head.body {
-            Body::Length(length) if length > most => return Err(broken("body too long")),
-            Body::Length(length) => self.take(length).await?,
-            Body::Chunked => self.chunks(most).await?,
+            Body::Length(length) if length > max_body_bytes => return Err(malformed("body too long")),
+            Body::Length(length) => self.read_exact(length).await?,
+            Body::Chunked => self.read_chunks(max_body_bytes).await?,
         };
-        let ended = self.socket.peek();
-        if !self.buffer.is_empty() || matches!(ended, PendingInput::Bytes) {
-            return Err(broken("more than the answer"));
+        let pending_input = self.socket.peek();
+        if !self.buffer.is_empty() || matches!(pending_input, PendingInput::Bytes) {
+            return Err(malformed("bytes after the answer"));
         }
         self.buffer = Vec::new();
-        self.reusable = head.kept && matches!(ended, PendingInput::Nothing);
+        self.reusable = head.keeps_open && matches!(pending_input, PendingInput::Nothing);
         Ok((head.status, body))
     }
 
     async fn read_more(&mut self) -> Result<()> {
         let filled = self.buffer.len();
-        self.buffer.resize(filled + READ_BYTES, 0);
-        let count = some_of(&self.socket, &mut self.buffer[filled..]).await;
+        self.buffer.resize(filled + READ_CHUNK_BYTES, 0);
+        let count = read_some(&self.socket, &mut self.buffer[filled..]).await;
         self.buffer.truncate(filled + count.as_ref().copied().unwrap_or(0));
-        self.response_progress.moved(self.clock, self.min_rate, count?);
+        self.response_progress.record(self.clock, self.min_rate, count?);
         Ok(())
     }
 
     /// Reads the next `length` bytes: first those in the buffer, then the rest straight into the result.
-    async fn take(&mut self, length: usize) -> Result<Vec<u8>> {
+    async fn read_exact(&mut self, length: usize) -> Result<Vec<u8>> {
         let here = self.buffer.len().min(length);
         let mut taken = Vec::with_capacity(length);
         taken.extend(self.buffer.drain(..here));
         taken.resize(length, 0);
         let mut filled = here;
         while filled < length {
-            let count = some_of(&self.socket, &mut taken[filled..]).await?;
+            let count = read_some(&self.socket, &mut taken[filled..]).await?;
             filled += count;
-            self.response_progress.moved(self.clock, self.min_rate, count);
+            self.response_progress.record(self.clock, self.min_rate, count);
         }
         Ok(taken)
     }
 
-    async fn chunks(&mut self, most: usize) -> Result<Vec<u8>> {
+    async fn read_chunks(&mut self, max_body_bytes: usize) -> Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let (start, size) = loop {
                 match httparse::parse_chunk_size(&self.buffer) {
                     Ok(Status::Complete((start, size))) => break (start, size as usize),
-                    Ok(Status::Partial) if self.buffer.len() < HEAD_BYTES => self.read_more().await?,
-                    _ => return Err(broken("chunk")),
+                    Ok(Status::Partial) if self.buffer.len() < MAX_HEAD_BYTES => self.read_more().await?,
+                    _ => return Err(malformed("invalid chunk size")),
                 }
             };
             self.buffer.drain(..start);
-            if size.saturating_add(body.len()) > most {
-                return Err(broken("body too long"));
+            if size.saturating_add(body.len()) > max_body_bytes {
+                return Err(malformed("body too long"));
             }
-            body.extend(self.take(size).await?);
-            if self.take(2).await? != b"\r\n" {
-                return Err(broken("chunk end"));
+            body.extend(self.read_exact(size).await?);
+            if self.read_exact(2).await? != b"\r\n" {
+                return Err(malformed("no line break after a chunk"));
             }
             if size == 0 {
                 return Ok(body);
@@ -207,53 +209,54 @@
 
 /// Returns `None` until the head is complete. An answer with neither a length nor chunks, whose body would
 /// end with the connection, is an error: nobody could tell whether the body is complete.
-fn parse(buffer: &[u8], field: &mut impl FnMut(&str, &str)) -> Result<Option<Head>> {
-    let mut fields = [EMPTY_HEADER; HEAD_FIELDS];
+fn parse(buffer: &[u8], on_field: &mut impl FnMut(&str, &str)) -> Result<Option<Head>> {
+    let mut fields = [EMPTY_HEADER; MAX_HEAD_FIELDS];
     let mut response = Response::new(&mut fields);
-    let Status::Complete(length) = response.parse(buffer).map_err(|_| broken("no HTTP"))? else {
+    let Status::Complete(length) = response.parse(buffer).map_err(|_| malformed("not HTTP"))? else {
         return Ok(None);
     };
     let status = response.code.unwrap_or(0);
-    let bare = status < 200 || status == 204;
-    let mut kept = response.version == Some(1);
-    let (mut told, mut chunked) = (None, false);
+    let has_no_body = status < 200 || status == 204;
+    let mut keeps_open = response.version == Some(1);
+    let (mut content_length, mut chunked) = (None, false);
     for found in response.headers.iter() {
-        let value = str::from_utf8(found.value).map_err(|_| broken("a field"))?.trim();
+        let value = str::from_utf8(found.value).map_err(|_| malformed("a field is not UTF-8"))?.trim();
         if found.name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-            let length = value.parse().ok().filter(|_| digits).ok_or_else(|| broken("content length"))?;
-            if told.replace(length).is_some_and(|before| before != length) {
-                return Err(broken("two lengths"));
+            let length =
+                value.parse().ok().filter(|_| digits).ok_or_else(|| malformed("invalid Content-Length"))?;
+            if content_length.replace(length).is_some_and(|before| before != length) {
+                return Err(malformed("two different values of Content-Length"));
             }
         } else if found.name.eq_ignore_ascii_case("transfer-encoding") {
             chunked = true;
             if !value.eq_ignore_ascii_case("chunked") {
-                return Err(broken("transfer encoding"));
+                return Err(malformed("unsupported Transfer-Encoding"));
             }
         } else if found.name.eq_ignore_ascii_case("connection") {
-            kept &= !value.eq_ignore_ascii_case("close");
+            keeps_open &= !value.eq_ignore_ascii_case("close");
         } else if status >= 200 {
-            field(found.name, value);
+            on_field(found.name, value);
         }
     }
-    let body = match (told, chunked) {
-        _ if bare => Body::Length(0),
+    let body = match (content_length, chunked) {
+        _ if has_no_body => Body::Length(0),
         (Some(length), false) => Body::Length(length),
         (None, true) => Body::Chunked,
-        _ => return Err(broken("no length")),
+        _ => return Err(malformed("neither Content-Length nor chunked, or both")),
     };
-    Ok(Some(Head { status, length, kept, body }))
+    Ok(Some(Head { status, length, keeps_open, body }))
 }
 
 /// Reads at least one byte; if the peer has closed its side, that is an error.
-async fn some_of(link: &Socket, buffer: &mut [u8]) -> Result<usize> {
-    match read(&link.stream, buffer).await {
+async fn read_some(socket: &Socket, buffer: &mut [u8]) -> Result<usize> {
+    match read(&socket.stream, buffer).await {
         Ok(0) => Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into())),
         count => count.map_err(CallError::Broken),
     }
 }
 
-fn broken(what: &'static str) -> CallError {
+fn malformed(what: &'static str) -> CallError {
     CallError::Malformed(what)
 }
 
--- a/crates/router/src/interrupted_calls.rs
+++ b/crates/router/src/interrupted_calls.rs
@@ -19,7 +19,7 @@
 
 /// Repeats an interrupted call a few times without a pause, for callers that can't wait; returns the
 /// interruption if each of these calls was interrupted.
-pub fn retried_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut outcome = call();
     for _ in 1..MAX_IMMEDIATE_TRIES {
         if !outcome.as_ref().is_err_and(is_interrupted) {
@@ -32,7 +32,7 @@
 
 /// Repeats the call for as long as it is interrupted. Threat: a loop without pauses would hold up everything
 /// on the thread, and an interrupted read would be taken for the end of its connection.
-pub async fn retried<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+pub async fn retry_interrupted<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         for _ in 0..MAX_IMMEDIATE_TRIES {
             match call().await {
--- a/crates/router/src/keyfiles.rs
+++ b/crates/router/src/keyfiles.rs
@@ -15,43 +15,44 @@
 
 use crate::files::{InputFile, READ_TIMEOUT};
 
-/// Maximum size of a key file; a list of revocations holds up to `LIST_BYTES`.
-const FILE_BYTES: u64 = 4 * 1024;
-const LIST_BYTES: u64 = 512 * 1024;
+/// Maximum size of a key file; a list of revocations holds up to `MAX_REVOCATIONS_BYTES`.
+const MAX_KEY_FILE_BYTES: u64 = 4 * 1024;
+const MAX_REVOCATIONS_BYTES: u64 = 512 * 1024;
 
-fn text(path: &Path, most: u64, private: bool) -> Result<Zeroizing<String>, String> {
+fn read_text(path: &Path, max_bytes: u64, is_secret: bool) -> Result<Zeroizing<String>, String> {
     let shown = path.display();
     let file = InputFile::open(path).map_err(|error| format!("{shown}: {error}"))?;
-    let about = file.metadata().map_err(|error| format!("{shown}: {error}"))?;
-    let mode = about.permissions().mode() & 0o777;
-    if private && mode & 0o077 != 0 {
+    let metadata = file.metadata().map_err(|error| format!("{shown}: {error}"))?;
+    let mode = metadata.permissions().mode() & 0o777;
+    if is_secret && mode & 0o077 != 0 {
         return Err(format!(
             "{shown}: mode {mode:04o}, allowed is what its owner alone can read (0600 or 0400)"
         ));
     }
-    if about.len() > most {
-        return Err(format!("{shown}: {} bytes, allowed are {most}", about.len()));
+    if metadata.len() > max_bytes {
+        return Err(format!("{shown}: {} bytes, allowed are {max_bytes}", metadata.len()));
     }
-    file.text(most, READ_TIMEOUT).map_err(|error| format!("{shown}: {error}"))
+    file.read_text(max_bytes, READ_TIMEOUT).map_err(|error| format!("{shown}: {error}"))
 }
 
 pub fn read_secret(path: &Path) -> Result<SecretKey, String> {
-    let text = text(path, FILE_BYTES, true)?;
-    SecretKey::from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    let text = read_text(path, MAX_KEY_FILE_BYTES, true)?;
+    SecretKey::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 pub fn read_pass(path: &Path) -> Result<Pass, String> {
-    Pass::from_text(&text(path, FILE_BYTES, false)?).map_err(|fault| format!("{}: {fault}", path.display()))
+    Pass::from_text(&read_text(path, MAX_KEY_FILE_BYTES, false)?)
+        .map_err(|error| format!("{}: {error}", path.display()))
 }
 
 pub fn read_revocations(path: &Path) -> Result<Vec<Revocation>, String> {
-    let text = text(path, LIST_BYTES, false)?;
-    Revocation::list_from_text(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    let text = read_text(path, MAX_REVOCATIONS_BYTES, false)?;
+    Revocation::list_from_text(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 pub fn read_order(path: &Path) -> Result<VoterSet, String> {
-    VoterSet::from_text(&text(path, FILE_BYTES, false)?)
-        .map_err(|fault| format!("{}: {fault}", path.display()))
+    VoterSet::from_text(&read_text(path, MAX_KEY_FILE_BYTES, false)?)
+        .map_err(|error| format!("{}: {error}", path.display()))
 }
 
 /// Writes a new file that only its owner can read; fails if the file exists.
@@ -80,21 +81,21 @@
 pub struct Keys {
     pub identity: Identity,
     pub ring: TrustStore,
-    /// The operator's order that names the voters.
+    /// The operator's signed set of voters.
     pub order: Option<VoterSet>,
 }
 
 impl Keys {
     /// Reads the files that the operator file's section names.
     pub fn read(section: Section<'_>, now: Moment) -> Result<Self, String> {
-        let named =
+        let path_of =
             |field: &str| section.file_path(field).ok_or_else(|| format!("gossip.{field}: names no file"));
         let operators = section.text_list("operator_keys").into_iter().map(public_key_from_text);
         let operators: Vec<[u8; 32]> = operators
             .collect::<Result<_, String>>()
-            .map_err(|fault| format!("gossip.operator_keys: {fault}"))?;
+            .map_err(|error| format!("gossip.operator_keys: {error}"))?;
         if operators.is_empty() {
-            return Err("gossip.operator_keys: empty, so no pass would be believed".to_owned());
+            return Err("gossip.operator_keys: empty, so no pass could be verified".to_owned());
         }
         let mut ring = TrustStore::new(ClusterId::from_name(section.text("cluster")), operators);
         if let Some(path) = section.file_path("revoked") {
@@ -113,9 +114,9 @@
             ));
         }
         let order = order.map(|(order, _)| order);
-        let (key, pass) = (named("key")?, named("pass")?);
+        let (key, pass) = (path_of("key")?, path_of("pass")?);
         let secret = read_secret(&key)?;
         let identity = Identity::new(secret, read_pass(&pass)?, &ring, now);
-        Ok(Self { identity: identity.map_err(|fault| format!("{}: {fault}", pass.display()))?, ring, order })
+        Ok(Self { identity: identity.map_err(|error| format!("{}: {error}", pass.display()))?, ring, order })
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -68,46 +68,47 @@
 use crate::stop::OperatorCommand;
 use crate::tasks::Tasks;
 
-/// Serves until a planned stop is done, which `orders` requests at some time. With `talk` it takes part in
-/// gossip with other routers.
+/// Serves until a planned stop is done, which `commands` requests at some time. With `gossip_setup` it takes
+/// part in gossip with other routers.
 pub async fn serve(
-    tasks: Tasks, given: config::RouterConfig, listener: TcpListener,
-    orders: impl Stream<Item = OperatorCommand> + 'static, talk: Option<GossipSetup>, sheet: &OperatorFile,
+    tasks: Tasks, config: config::RouterConfig, listener: TcpListener,
+    commands: impl Stream<Item = OperatorCommand> + 'static, gossip_setup: Option<GossipSetup>,
+    operator_file: &OperatorFile,
 ) -> Result<()> {
     let clock = Clock::start();
-    let settings = given.settings;
+    let settings = config.settings;
     let limits = required(&settings, "limits")?;
     let connect_timeout = span(limits, "connectTimeoutUs")?;
     let idle_close = span(limits, "idleCloseUs")?;
     let grace = span(required(&settings, "obligations")?, "stopSendingWithinUs")?;
-    let reports = text(required(&settings, "feedback")?, "how")? != "none";
+    let wants_load_reports = text(required(&settings, "feedback")?, "how")? != "none";
     let family = required(&settings, "familyInfo")?;
     let classes = array(&settings, "classes")?;
     let types = classes.iter().map(|class| Ok((text(class, "name")?.to_owned(), span(class, "deadlineUs")?)));
-    let most = |field| numbers(family, field).map(|each| each.into_iter().fold(1.0, f64::max));
-    let range = RequestLimits {
+    let max_of = |field| numbers(family, field).map(|each| each.into_iter().fold(1.0, f64::max));
+    let request_limits = RequestLimits {
         types: types.collect::<Result<_>>()?,
-        max_cores: most("coresByKind")?,
-        max_memory_mb: most("ramOfKindMb")?,
+        max_cores: max_of("coresByKind")?,
+        max_memory_mb: max_of("ramOfKindMb")?,
     };
-    let longest = range.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or_default();
+    let max_job_timeout = request_limits.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or_default();
     let come_back = woadhook_host::max_retry_after(limits)?;
 
-    let pace = sheet.section("pace").ok_or("no section pace")?;
-    let least = |rate: &str, grace: &str| MinRate {
+    let pace = operator_file.section("pace").ok_or("no section pace")?;
+    let min_rate = |rate: &str, grace: &str| MinRate {
         bytes_per_s: pace.integer(rate) as f64,
         grace: Span::from_micros(pace.integer(grace) * 1000),
     };
-    let share = pace.integer("engine_rate_percent") as f64 / 100.0;
+    let min_rate_share = pace.integer("engine_rate_percent") as f64 / 100.0;
     tasks.spawn(timers::drive());
-    let descriptors = DescriptorBudget::split(given.descriptors);
+    let descriptors = DescriptorBudget::split(config.max_descriptors);
     // All budgets together take half of the memory limit; the other half is for connections and the program
     // itself.
-    let room = |part: f64| {
-        MemoryBudget::new((given.memory_mb * 1024.0 * 1024.0 * part) as usize, descriptors.max_clients)
+    let budget = |part: f64| {
+        MemoryBudget::new((config.memory_mb * 1024.0 * 1024.0 * part) as usize, descriptors.max_clients)
     };
-    let (module, mailbox) = async_channel::bounded(decide::MAILBOX);
-    let (urgent, pressing) = async_channel::bounded(decide::MAILBOX);
+    let (events, mailbox) = async_channel::bounded(decide::MAILBOX_CAPACITY);
+    let (urgent, urgent_events) = async_channel::bounded(decide::MAILBOX_CAPACITY);
     let guards = Guards::default();
     let loop_ticks = LoopTicks::start(clock, tasks);
     let freshness = ListFreshness::new(clock, loop_ticks.clone(), grace);
@@ -118,51 +119,74 @@
         control_calls: ConnectionPool::new(clock, descriptors.control_calls, idle_close),
         probes: ConnectionPool::new(clock, descriptors.probes, idle_close),
         connect_timeout,
-        wants_load_reports: reports,
-        result_memory: room(0.15),
-        min_rate: Rc::new(Cell::new(least("engine_bytes_per_s", "engine_grace_ms"))),
+        wants_load_reports,
+        result_memory: budget(0.15),
+        min_rate: Rc::new(Cell::new(min_rate("engine_bytes_per_s", "engine_grace_ms"))),
         urgent: urgent.clone(),
         guards: guards.clone(),
         freshness: freshness.clone(),
     });
-    let notes = talk.map(|talk| gossip::start(talk, clock, given.seed, tasks, module.clone())).transpose()?;
-    let dispatcher =
-        Dispatcher::new(clock, given.seed, settings, context, module.clone(), notes.clone(), share)?;
-    tasks.spawn(dispatcher.run(pressing, mailbox));
-    let mut last = 0;
+    let gossip_handle = gossip_setup
+        .map(|gossip_setup| gossip::start(gossip_setup, clock, config.seed, tasks, events.clone()))
+        .transpose()?;
+    let dispatcher = Dispatcher::new(
+        clock,
+        config.seed,
+        settings,
+        context,
+        events.clone(),
+        gossip_handle.clone(),
+        min_rate_share,
+    )?;
+    tasks.spawn(dispatcher.run(urgent_events, mailbox));
+    let mut last_event = 0;
     // The router starts even if the list can't be read, as discovery sends it again.
-    if let Err(fault) = poll::forward_known_events(&given.known, &mut last, &urgent).await {
-        log::warn!("known: {fault}");
+    if let Err(error) = poll::forward_known_events(&config.known_events, &mut last_event, &urgent).await {
+        log::warn!("known: {error}");
     }
-    let (moves, moved) = async_channel::bounded(1);
-    tasks.spawn(poll::follow(clock, given.bulletin, grace, last, moved, urgent.clone(), freshness));
-    let (stop, told_to_stop) = async_channel::bounded(1);
-    tasks.spawn(stop::heed(orders, moves, stop, notes, guards.clone()));
+    let (moves, received_moves) = async_channel::bounded(1);
+    tasks.spawn(poll::follow(
+        clock,
+        config.discovery_address,
+        grace,
+        last_event,
+        received_moves,
+        urgent.clone(),
+        freshness,
+    ));
+    let (stop, stop_requested) = async_channel::bounded(1);
+    tasks.spawn(stop::execute_commands(commands, moves, stop, gossip_handle, guards.clone()));
 
-    let intake = Acceptor::new(listener).map_err(|error| error.to_string())?;
-    let owing = Rc::new(Cell::new(0));
-    let hall = FrontendContext {
+    let acceptor = Acceptor::new(listener).map_err(|error| error.to_string())?;
+    let answers_owed = Rc::new(Cell::new(0));
+    let frontend_context = FrontendContext {
         clock,
         tasks,
-        events: module.clone(),
-        request_limits: Rc::new(range),
-        job_memory: room(0.25),
-        message_memory: room(0.1),
+        events: events.clone(),
+        request_limits: Rc::new(request_limits),
+        job_memory: budget(0.25),
+        message_memory: budget(0.1),
         come_back,
-        answers_owed: owing.clone(),
-        min_send_rate: least("client_sends_bytes_per_s", "client_grace_ms"),
-        min_receive_rate: least("client_takes_bytes_per_s", "client_grace_ms"),
+        answers_owed: answers_owed.clone(),
+        min_send_rate: min_rate("client_sends_bytes_per_s", "client_grace_ms"),
+        min_receive_rate: min_rate("client_takes_bytes_per_s", "client_grace_ms"),
         quantum_bytes: pace.integer("turn_bytes") as usize,
         loop_ticks,
         guards: guards.clone(),
     };
     let connections = Connections::default();
-    tasks.spawn(listen::accept(intake.clone(), descriptors.clients, clock, connections.clone(), hall));
-    log::info!("serving on {}", given.listen);
-    if told_to_stop.recv().await.is_err() {
+    tasks.spawn(listen::accept(
+        acceptor.clone(),
+        descriptors.clients,
+        clock,
+        connections.clone(),
+        frontend_context,
+    ));
+    log::info!("serving on {}", config.listen);
+    if stop_requested.recv().await.is_err() {
         std::future::pending().await
     }
-    stop::wait(clock, longest, &owing, &connections, &intake, urgent).await;
+    stop::shut_down(clock, max_job_timeout, &answers_owed, &connections, &acceptor, urgent).await;
     guards.report();
     Ok(())
 }
--- a/crates/router/src/log_queue.rs
+++ b/crates/router/src/log_queue.rs
@@ -15,7 +15,7 @@
 use rustix::event::{PollFd, PollFlags, poll};
 
 /// Maximum number of queued bytes. As many more may be in the buffer that the writer is working on.
-pub const QUEUE_BYTES: usize = 64 * 1024;
+pub const MAX_QUEUED_BYTES: usize = 64 * 1024;
 /// The part of the queue that is reserved for warnings and errors, so that a burst of other lines leaves
 /// space for them.
 pub const RESERVED_BYTES: usize = 16 * 1024;
@@ -25,7 +25,7 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Returns how many log lines this process has dropped since its start.
-pub fn lines_dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
@@ -40,9 +40,9 @@
 struct Shared {
     state: Mutex<State>,
     /// Notified when there is something to write.
-    filled: Condvar,
+    not_empty: Condvar,
     /// Notified when everything has been written.
-    emptied: Condvar,
+    flushed: Condvar,
 }
 
 #[derive(Default)]
@@ -71,28 +71,29 @@
     /// Queues one line, with its line feed, or drops and counts it. It never waits for the reader of the log:
     /// the lock is held only while memory is copied.
     pub fn push(&self, line: &[u8], level: Level) {
-        let most = if level <= Level::Warn { QUEUE_BYTES } else { QUEUE_BYTES - RESERVED_BYTES };
+        let max_bytes =
+            if level <= Level::Warn { MAX_QUEUED_BYTES } else { MAX_QUEUED_BYTES - RESERVED_BYTES };
         let mut state = self.lock();
-        if state.lines.len() + line.len() <= most {
+        if state.lines.len() + line.len() <= max_bytes {
             state.lines.extend_from_slice(line);
         } else {
             state.dropped += 1;
             DROPPED.fetch_add(1, Ordering::Relaxed);
         }
         drop(state);
-        self.0.filled.notify_one();
+        self.0.not_empty.notify_one();
     }
 
-    /// Waits until all lines are written, but no longer than `within`; returns whether they are.
-    pub fn flush(&self, within: Duration) -> bool {
-        let by = Instant::now() + within;
+    /// Waits until all lines are written, but no longer than `time_limit`; returns whether they are.
+    pub fn flush(&self, time_limit: Duration) -> bool {
+        let deadline = Instant::now() + time_limit;
         let mut state = self.lock();
         while state.is_writing || !state.lines.is_empty() || state.dropped > 0 {
-            let left = by.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
             }
-            let waited = self.0.emptied.wait_timeout(state, left);
+            let waited = self.0.flushed.wait_timeout(state, left);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
@@ -104,12 +105,12 @@
 
     /// Waits for something to write, then swaps all queued lines for the empty buffer. The notice of lines
     /// that were dropped meanwhile is added after them.
-    fn take(&self, batch: &mut Vec<u8>, notice: &DropNotice) {
+    fn take_lines(&self, batch: &mut Vec<u8>, notice: &DropNotice) {
         let mut state = self.lock();
         while state.lines.is_empty() && state.dropped == 0 {
             state.is_writing = false;
-            self.0.emptied.notify_all();
-            state = self.0.filled.wait(state).unwrap_or_else(PoisonError::into_inner);
+            self.0.flushed.notify_all();
+            state = self.0.not_empty.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
         state.is_writing = true;
         std::mem::swap(&mut state.lines, batch);
@@ -133,7 +134,7 @@
     fn run(mut self) {
         let mut batch = Vec::new();
         loop {
-            self.queue.take(&mut batch, &self.notice);
+            self.queue.take_lines(&mut batch, &self.notice);
             self.write(&batch);
             batch.clear();
         }
@@ -143,14 +144,14 @@
     /// dropped and counted.
     fn write(&mut self, lines: &[u8]) {
         if !self.at_line_start && self.write_all(b"\n").is_err() {
-            return self.drop_lines(lines);
+            return self.count_dropped(lines);
         }
         if let Err(rest) = self.write_all(lines) {
-            self.drop_lines(rest);
+            self.count_dropped(rest);
         }
     }
 
-    fn drop_lines(&self, lines: &[u8]) {
+    fn count_dropped(&self, lines: &[u8]) {
         let count = lines.split_inclusive(|byte| *byte == b'\n').count() as u64;
         DROPPED.fetch_add(count, Ordering::Relaxed);
     }
@@ -167,7 +168,7 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 // Another process that shares the descriptor may have made it non-blocking; this one must not
                 // change its flags.
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => wait_for_room(self.out.as_fd()),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => wait_writable(self.out.as_fd()),
                 Err(_) => return Err(bytes),
             }
         }
@@ -175,7 +176,7 @@
     }
 }
 
-fn wait_for_room(out: BorrowedFd<'_>) {
-    let mut looked = [PollFd::from_borrowed_fd(out, PollFlags::OUT)];
-    let _ = poll(&mut looked, None);
+fn wait_writable(out: BorrowedFd<'_>) {
+    let mut poll_fds = [PollFd::from_borrowed_fd(out, PollFlags::OUT)];
+    let _ = poll(&mut poll_fds, None);
 }
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -26,22 +26,22 @@
     let out = io::stderr().as_fd().try_clone_to_owned().map(File::from);
     let queue = out.and_then(|out| LogQueue::start(out, drop_notice(format))).unwrap_or_default();
     let mut builder = Builder::from_env(Env::default().default_filter_or(level));
-    let logger = written(&mut builder, format, Target::Pipe(Box::new(Queued(queue.clone())))).build();
+    let logger = configured(&mut builder, format, Target::Pipe(Box::new(QueueWriter(queue.clone())))).build();
     log::set_max_level(logger.filter());
     // Fails only if a logger was set before.
-    let _ = log::set_boxed_logger(Box::new(Leveled(logger)));
+    let _ = log::set_boxed_logger(Box::new(LevelLogger(logger)));
     // Threat: the panic of a task would write to standard error on the thread that handles requests.
     panic::set_hook(Box::new(|panic| {
         let place = panic.location().map(ToString::to_string).unwrap_or_default();
-        let what = panic.payload_as_str().unwrap_or("no message");
-        log::error!(event = "panic", place = place.as_str(); "panicked at {place}: {what}");
+        let message = panic.payload_as_str().unwrap_or("no message");
+        log::error!(event = "panic", place = place.as_str(); "panicked at {place}: {message}");
     }));
     queue
 }
 
-fn written(builder: &mut Builder, format: Format, target: Target) -> &mut Builder {
+fn configured(builder: &mut Builder, format: Format, target: Target) -> &mut Builder {
     if format == Format::Json {
-        builder.format(as_json);
+        builder.format(write_json);
     }
     if io::stderr().is_terminal() && env::var_os(env_logger::DEFAULT_WRITE_STYLE_ENV).is_none() {
         builder.write_style(WriteStyle::Always);
@@ -51,10 +51,10 @@
 
 /// Renders the notice of dropped lines in the same format as other lines, at any log level.
 fn drop_notice(format: Format) -> DropNotice {
-    let line = Line::default();
+    let line = LineBuffer::default();
     let mut builder = Builder::new();
     builder.filter_level(LevelFilter::Trace);
-    let logger = written(&mut builder, format, Target::Pipe(Box::new(line.clone()))).build();
+    let logger = configured(&mut builder, format, Target::Pipe(Box::new(line.clone()))).build();
     Box::new(move |count| {
         let fields = [("event", Value::from("log_lines_dropped")), ("count", Value::from(count))];
         let mut record = Record::builder();
@@ -70,15 +70,15 @@
 
 /// Collects one rendered line.
 #[derive(Clone, Default)]
-struct Line(Arc<Mutex<Vec<u8>>>);
+struct LineBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Line {
+impl LineBuffer {
     fn take(&self) -> Vec<u8> {
         std::mem::take(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-impl Write for Line {
+impl Write for LineBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).extend_from_slice(bytes);
         Ok(bytes.len())
@@ -95,9 +95,9 @@
 }
 
 /// Records each line's level for the queue, which reserves space for warnings and errors.
-struct Leveled(Logger);
+struct LevelLogger(Logger);
 
-impl Log for Leveled {
+impl Log for LevelLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.0.enabled(metadata)
     }
@@ -111,9 +111,9 @@
 }
 
 /// Writer that puts rendered lines into the queue.
-struct Queued(LogQueue);
+struct QueueWriter(LogQueue);
 
-impl Write for Queued {
+impl Write for QueueWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.0.push(line, LEVEL.get());
         Ok(line.len())
@@ -142,7 +142,7 @@
     }
 }
 
-fn as_json(out: &mut Formatter, record: &Record<'_>) -> std::io::Result<()> {
+fn write_json(out: &mut Formatter, record: &Record<'_>) -> std::io::Result<()> {
     let mut fields = Fields(Map::new());
     let _ = record.key_values().visit(&mut fields);
     let mut line = fields.0;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -7,8 +7,8 @@
 
 use clap::Parser;
 
-use crate::commands::Line;
+use crate::commands::CommandLine;
 
 fn main() -> ExitCode {
-    commands::carry_out(Line::parse())
+    commands::execute(CommandLine::parse())
 }
--- a/crates/router/src/memory.rs
+++ b/crates/router/src/memory.rs
@@ -10,11 +10,11 @@
 use woadhook_flow_control::shares::{Reservation, Shares};
 
 /// Fraction of a budget that is set aside for the guaranteed minimums, one for each possible connection.
-const APART: f64 = 0.5;
+const GUARANTEED_FRACTION: f64 = 0.5;
 /// What a connection may hold above its minimum, and an address in total, as multiples of the bytes that are
 /// still free: many connections may come from one address.
-const OF_FREE: f64 = 1.0;
-const OF_FREE_AT_ADDRESS: f64 = 8.0;
+const CONNECTION_MULTIPLE_OF_FREE: f64 = 1.0;
+const ADDRESS_MULTIPLE_OF_FREE: f64 = 8.0;
 
 /// The client connection that bytes are held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,12 +31,12 @@
 struct Inner {
     connections: RefCell<Shares<u64>>,
     addresses: RefCell<Shares<IpAddr>>,
-    given_back: Event,
+    released: Event,
 }
 
 /// Bytes taken from a budget; returned when dropped.
 pub struct MemoryPermit {
-    room: MemoryBudget,
+    budget: MemoryBudget,
     holder: Holder,
     bytes: usize,
 }
@@ -45,9 +45,14 @@
     /// Creates a budget of `bytes` for at most the given number of connections.
     pub fn new(bytes: usize, connections: usize) -> Self {
         Self(Rc::new(Inner {
-            connections: RefCell::new(Shares::new(bytes, connections, APART, OF_FREE)),
-            addresses: RefCell::new(Shares::new(bytes, connections, 0.0, OF_FREE_AT_ADDRESS)),
-            given_back: Event::new(),
+            connections: RefCell::new(Shares::new(
+                bytes,
+                connections,
+                GUARANTEED_FRACTION,
+                CONNECTION_MULTIPLE_OF_FREE,
+            )),
+            addresses: RefCell::new(Shares::new(bytes, connections, 0.0, ADDRESS_MULTIPLE_OF_FREE)),
+            released: Event::new(),
         }))
     }
 
@@ -64,25 +69,25 @@
             return None;
         }
         addresses.reserve_unchecked(&holder.address, bytes);
-        Some(MemoryPermit { room: self.clone(), holder, bytes })
+        Some(MemoryPermit { budget: self.clone(), holder, bytes })
     }
 
     pub async fn acquire(&self, holder: Holder, bytes: usize) -> MemoryPermit {
         loop {
-            let given_back = self.0.given_back.listen();
-            if let Some(held) = self.try_acquire(holder, bytes) {
-                return held;
+            let released = self.0.released.listen();
+            if let Some(permit) = self.try_acquire(holder, bytes) {
+                return permit;
             }
-            given_back.await;
+            released.await;
         }
     }
 }
 
 impl Drop for MemoryPermit {
     fn drop(&mut self) {
-        let Inner { connections, addresses, given_back } = &*self.room.0;
+        let Inner { connections, addresses, released } = &*self.budget.0;
         connections.borrow_mut().release(&self.holder.connection, self.bytes);
         addresses.borrow_mut().release(&self.holder.address, self.bytes);
-        given_back.notify(usize::MAX);
+        released.notify(usize::MAX);
     }
 }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -21,14 +21,14 @@
 /// arrives twice, the second time some milliseconds late, would be taken for the answer to the next call,
 /// which may belong to another job. A second copy that arrives within this time is seen before the next use.
 /// Cost: a new connection where calls to one engine follow each other faster.
-pub const REST: Span = Span::from_micros(100_000);
+pub const MIN_REST: Span = Span::from_micros(100_000);
 
 /// Connections that share one part of the descriptor limit.
 pub struct ConnectionPool {
     clock: Clock,
-    part: Arc<Semaphore>,
+    descriptors: Arc<Semaphore>,
     /// Half the time after which engines close idle connections, so that no call coincides with the close.
-    longest_idle: Span,
+    max_idle: Span,
     /// Idle connections, the longest idle first; removed when they are too old, when they are used and when
     /// the module forgets the engine.
     idle: RefCell<VecDeque<(u64, Connection)>>,
@@ -45,11 +45,11 @@
 }
 
 impl ConnectionPool {
-    pub fn new(clock: Clock, part: Arc<Semaphore>, idle_close: Span) -> Rc<Self> {
+    pub fn new(clock: Clock, descriptors: Arc<Semaphore>, idle_close: Span) -> Rc<Self> {
         Rc::new(Self {
             clock,
-            part,
-            longest_idle: idle_close.mul_f64(0.5),
+            descriptors,
+            max_idle: idle_close.mul_f64(0.5),
             idle: RefCell::default(),
             waiting: Cell::new(0),
         })
@@ -59,52 +59,61 @@
     /// closed, or else a new one. If all descriptors are in use, closes the longest idle connection to any
     /// engine, or waits for a descriptor.
     pub async fn acquire(
-        self: &Rc<Self>, engine: u64, at: SocketAddr, span: Span,
+        self: &Rc<Self>, engine: u64, address: SocketAddr, connect_timeout: Span,
     ) -> Result<PooledConnection, CallError> {
-        let lease =
+        let in_use =
             |connection| PooledConnection { pool: self.clone(), engine, connection: Some(connection) };
-        self.close_old();
-        while let Some(connection) = self.latest(engine) {
+        self.close_expired();
+        while let Some(connection) = self.take_rested(engine) {
             if connection.is_ready() {
-                return Ok(lease(connection));
+                return Ok(in_use(connection));
             }
         }
-        let permit = match self.part.try_acquire_arc() {
+        let permit = match self.descriptors.try_acquire_arc() {
             Some(permit) => permit,
             None => {
                 self.idle.borrow_mut().pop_front();
-                let _waiting = Waiting::new(&self.waiting);
-                with_timeout(span, self.part.acquire_arc()).await.ok_or(CallError::NoDescriptor)?
+                let _waiter = WaiterGuard::new(&self.waiting);
+                with_timeout(connect_timeout, self.descriptors.acquire_arc())
+                    .await
+                    .ok_or(CallError::NoDescriptor)?
             }
         };
-        let link = Socket::connect(at, span, permit);
-        let link = link.or(self.another(at, span, 1)).or(self.another(at, span, 2)).await?;
-        Ok(lease(Connection::new(link, self.clock)))
+        let socket = Socket::connect(address, connect_timeout, permit);
+        let socket = socket
+            .or(self.connect_later(address, connect_timeout, 1))
+            .or(self.connect_later(address, connect_timeout, 2))
+            .await?;
+        Ok(in_use(Connection::new(socket, self.clock)))
     }
 
     /// Opens another connection once `thirds` thirds of the connect timeout have passed. Threat: connections
     /// to healthy engines that come up late or never, each of which would set an engine aside. Cost: a second
     /// connection, and a descriptor if one is free, where an engine is slow to accept.
-    async fn another(&self, at: SocketAddr, span: Span, thirds: u32) -> Result<Socket, CallError> {
-        let after = span.mul_f64(f64::from(thirds) / 3.0);
+    async fn connect_later(
+        &self, address: SocketAddr, connect_timeout: Span, thirds: u32,
+    ) -> Result<Socket, CallError> {
+        let after = connect_timeout.mul_f64(f64::from(thirds) / 3.0);
         sleep(after).await;
-        match self.part.try_acquire_arc() {
+        match self.descriptors.try_acquire_arc() {
             // Boxed, as few connections need it and it would enlarge the task of every query.
-            Some(permit) => Box::pin(Socket::connect(at, span.saturating_sub(after), permit)).await,
+            Some(permit) => {
+                Box::pin(Socket::connect(address, connect_timeout.saturating_sub(after), permit)).await
+            }
             None => future::pending().await,
         }
     }
 
-    fn latest(&self, engine: u64) -> Option<Connection> {
+    fn take_rested(&self, engine: u64) -> Option<Connection> {
         let (now, mut idle) = (self.clock.now(), self.idle.borrow_mut());
-        let rested = |each: &Connection| now.since(each.idle_since) >= REST;
-        let place = idle.iter().rposition(|(of, each)| *of == engine && rested(each))?;
-        idle.remove(place).map(|(_, connection)| connection)
+        let rested = |each: &Connection| now.since(each.idle_since) >= MIN_REST;
+        let index = idle.iter().rposition(|(of, each)| *of == engine && rested(each))?;
+        idle.remove(index).map(|(_, connection)| connection)
     }
 
-    fn close_old(&self) {
+    fn close_expired(&self) {
         let (now, mut idle) = (self.clock.now(), self.idle.borrow_mut());
-        while idle.front().is_some_and(|(_, oldest)| now.since(oldest.idle_since) > self.longest_idle) {
+        while idle.front().is_some_and(|(_, oldest)| now.since(oldest.idle_since) > self.max_idle) {
             idle.pop_front();
         }
     }
@@ -114,16 +123,16 @@
     }
 }
 
-struct Waiting<'a>(&'a Cell<usize>);
+struct WaiterGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaiterGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -132,13 +141,13 @@
 impl Deref for PooledConnection {
     type Target = Connection;
     fn deref(&self) -> &Connection {
-        self.connection.as_ref().expect("held until dropped")
+        self.connection.as_ref().expect("the connection is present until it is dropped")
     }
 }
 
 impl DerefMut for PooledConnection {
     fn deref_mut(&mut self) -> &mut Connection {
-        self.connection.as_mut().expect("held until dropped")
+        self.connection.as_mut().expect("the connection is present until it is dropped")
     }
 }
 
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -15,13 +15,15 @@
 
 use crate::clock::{Clock, sleep};
 use crate::faults::CallError;
-use crate::interrupted_calls::{MAX_IMMEDIATE_TRIES, RETRY_PAUSE, is_interrupted, retried, retried_at_once};
+use crate::interrupted_calls::{
+    MAX_IMMEDIATE_TRIES, RETRY_PAUSE, is_interrupted, retry_interrupted, retry_interrupted_at_once,
+};
 
 /// Descriptors that are not connections to peers: standard streams, poller, signals, listener, discovery.
-const OWN: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Maximum number of bytes that are read and discarded from a peer after the last write to it.
-const PARTING_BYTES: usize = 256 * 1024;
-const PARTING_READ: usize = 4 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+const DISCARD_CHUNK_BYTES: usize = 4 * 1024;
 
 /// The descriptor limit, divided into parts that cannot starve each other.
 pub struct DescriptorBudget {
@@ -38,16 +40,16 @@
 impl DescriptorBudget {
     pub fn split(limit: usize) -> Self {
         let clients = limit / 3;
-        let rest = limit.saturating_sub(clients + OWN).max(2);
+        let rest = limit.saturating_sub(clients + RESERVED_DESCRIPTORS).max(2);
         let (control_calls, probes) = ((rest / 5).max(1), (rest / 20).max(1));
         let queries = rest.saturating_sub(control_calls + probes).max(1);
-        let part = |count| Arc::new(Semaphore::new(count));
+        let semaphore = |count| Arc::new(Semaphore::new(count));
         Self {
-            clients: part(clients.max(1)),
+            clients: semaphore(clients.max(1)),
             max_clients: clients.max(1),
-            queries: part(queries),
-            control_calls: part(control_calls),
-            probes: part(probes),
+            queries: semaphore(queries),
+            control_calls: semaphore(control_calls),
+            probes: semaphore(probes),
         }
     }
 }
@@ -84,7 +86,7 @@
     }
 
     pub fn peek(&self) -> PendingInput {
-        match retried_at_once(|| self.stream.get_ref().peek(&mut [0])) {
+        match retry_interrupted_at_once(|| self.stream.get_ref().peek(&mut [0])) {
             Ok(1..) => PendingInput::Bytes,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => PendingInput::Nothing,
             // This is the safe answer: on unread bytes callers neither close the connection of a client nor
@@ -101,11 +103,11 @@
             PendingInput::Nothing => false,
             PendingInput::Close => true,
             PendingInput::Bytes => {
-                let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-                let mut looked = [PollFd::new(&self.stream, PollFlags::RDHUP)];
+                let close_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+                let mut poll_fds = [PollFd::new(&self.stream, PollFlags::RDHUP)];
                 let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-                let look = retried_at_once(|| Ok(poll(&mut looked, Some(&at_once))?));
-                look.is_ok() && looked[0].revents().intersects(ends)
+                let checked = retry_interrupted_at_once(|| Ok(poll(&mut poll_fds, Some(&at_once))?));
+                checked.is_ok() && poll_fds[0].revents().intersects(close_flags)
             }
         }
     }
@@ -117,9 +119,9 @@
     pub async fn close_gracefully(&self, span: Span) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         let drain = async {
-            let (mut passed, mut left) = (vec![0; PARTING_READ], PARTING_BYTES);
+            let (mut discarded, mut left) = (vec![0; DISCARD_CHUNK_BYTES], MAX_DISCARDED_BYTES);
             while left > 0 {
-                match read(&self.stream, &mut passed).await {
+                match read(&self.stream, &mut discarded).await {
                     Ok(0) | Err(_) => break,
                     Ok(count) => left = left.saturating_sub(count),
                 }
@@ -132,8 +134,8 @@
 /// Whether the socket has something to read at once, or may have because the check failed.
 pub fn is_readable(socket: impl AsFd) -> bool {
     let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let mut looked = [PollFd::new(&socket, PollFlags::IN)];
-    retried_at_once(|| Ok(poll(&mut looked, Some(&at_once))?)).map_or(true, |count| count > 0)
+    let mut poll_fds = [PollFd::new(&socket, PollFlags::IN)];
+    retry_interrupted_at_once(|| Ok(poll(&mut poll_fds, Some(&at_once))?)).map_or(true, |count| count > 0)
 }
 
 /// Returns the outcome of `work`, or `None` once the span has passed.
@@ -148,7 +150,7 @@
 
 /// Reads what has arrived, or waits for it.
 pub async fn read(stream: &Async<TcpStream>, buffer: &mut [u8]) -> io::Result<usize> {
-    retried(async || read_once(stream, buffer).await).await
+    retry_interrupted(async || read_once(stream, buffer).await).await
 }
 
 /// Like `read`, but returns an error if a signal interrupts it.
@@ -164,31 +166,30 @@
     Broken(io::Error),
 }
 
-/// Writes all the parts, and fails if the peer takes them more slowly than `least`.
+/// Writes all the parts, and fails if the peer takes them more slowly than `min_rate`.
 pub async fn write_at_min_rate(
-    stream: &Async<TcpStream>, parts: &[&[u8]], clock: Clock, least: MinRate,
+    stream: &Async<TcpStream>, parts: &[&[u8]], clock: Clock, min_rate: MinRate,
 ) -> Result<(), WriteError> {
-    let watch = Cell::new(RateMonitor::start(clock.now(), least));
+    let monitor = Cell::new(RateMonitor::start(clock.now(), min_rate));
     let progress = |progress| match progress {
-        Progress::Written(bytes) => {
-            let mut moved = watch.get();
+        WriteProgress::Written(bytes) => {
+            let mut moved = monitor.get();
             moved.record(clock.now(), bytes);
-            watch.set(moved);
+            monitor.set(moved);
         }
         // The interruption does not count against the peer.
-        Progress::Interrupted => watch.set(RateMonitor::start(clock.now(), least)),
+        WriteProgress::Interrupted => monitor.set(RateMonitor::start(clock.now(), min_rate)),
     };
     let too_slow = async {
-        while !watch.get().is_too_slow(clock.now()) {
-            clock.sleep_until(watch.get().deadline()).await;
+        while !monitor.get().is_too_slow(clock.now()) {
+            clock.sleep_until(monitor.get().deadline()).await;
         }
-        let (bytes, rate) = watch.get().stats(clock.now());
-        let allowed = least.bytes_per_s;
+        let (bytes, rate) = monitor.get().stats(clock.now());
+        let allowed = min_rate.bytes_per_s;
         Err(WriteError::TooSlow(format!("{bytes} bytes at {rate:.0} a second, allowed are {allowed:.0}")))
     };
-    let written = async {
-        write_gathered(stream, parts, FirstByte::WhenItCan, progress).await.map_err(WriteError::Broken)
-    };
+    let written =
+        async { write_gathered(stream, parts, FirstByte::Retry, progress).await.map_err(WriteError::Broken) };
     written.or(too_slow).await
 }
 
@@ -197,14 +198,14 @@
 pub enum FirstByte {
     /// It fails as interrupted, with nothing written: what was checked before it, or what it states, may no
     /// longer hold.
-    AtOnce,
+    FailIfInterrupted,
     /// It is repeated.
-    WhenItCan,
+    Retry,
 }
 
 /// The outcome of one step of a write.
 #[derive(Clone, Copy)]
-pub enum Progress {
+pub enum WriteProgress {
     /// This many more bytes were written.
     Written(usize),
     /// Nothing was written, as signals interrupted each try.
@@ -213,7 +214,7 @@
 
 /// Writes all the parts in order, as many at once as the system takes. `progress` is called after each write.
 pub async fn write_gathered(
-    stream: &Async<TcpStream>, parts: &[&[u8]], first: FirstByte, mut progress: impl FnMut(Progress),
+    stream: &Async<TcpStream>, parts: &[&[u8]], first: FirstByte, mut progress: impl FnMut(WriteProgress),
 ) -> io::Result<()> {
     let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut left = slices.as_mut_slice();
@@ -229,18 +230,18 @@
                 if tries % MAX_IMMEDIATE_TRIES != 0 {
                     continue;
                 }
-                if !has_begun && first == FirstByte::AtOnce {
+                if !has_begun && first == FirstByte::FailIfInterrupted {
                     return Err(error);
                 }
                 sleep(RETRY_PAUSE).await;
-                progress(Progress::Interrupted);
+                progress(WriteProgress::Interrupted);
                 continue;
             }
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             written => written?,
         };
         has_begun = true;
-        progress(Progress::Written(count));
+        progress(WriteProgress::Written(count));
         IoSlice::advance_slices(&mut left, count);
     }
     Ok(())
--- a/crates/router/src/starts.rs
+++ b/crates/router/src/starts.rs
@@ -8,11 +8,11 @@
 
 /// When an engine started, in Unix milliseconds by the clock of whoever recorded it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stamp(pub u64);
+pub struct StartTime(pub u64);
 
-impl Stamp {
+impl StartTime {
     /// The start time in a line of the list; `None` if the engine started long ago.
-    pub fn of(member: &Value) -> Option<Self> {
+    pub fn from_line(member: &Value) -> Option<Self> {
         integer(member, "up_since_ms").ok().filter(|&at| at > 0).map(Self)
     }
 
@@ -25,7 +25,7 @@
     fn newest(items: &[Value]) -> Option<Self> {
         let rosters = items.iter().filter_map(|item| item.get("roster"));
         let members = rosters.filter_map(|roster| array(roster, "members").ok()).flatten();
-        members.filter_map(Self::of).max()
+        members.filter_map(Self::from_line).max()
     }
 }
 
@@ -36,19 +36,19 @@
     /// start is received.
     SinceLastContact,
     /// At any time before this router's first request; the newest start among these events.
-    BeforeFirstContact(Option<Stamp>),
+    BeforeFirstContact(Option<StartTime>),
 }
 
 impl EventTime {
     /// For events that make up everything known so far.
     pub fn before_first_contact(items: &[Value]) -> Self {
-        Self::BeforeFirstContact(Stamp::newest(items))
+        Self::BeforeFirstContact(StartTime::newest(items))
     }
 
     /// The minimum age of a start that these events report. For events from before the first request it is
     /// the span from this start to the newest one, or to the present by this router's wall clock, whichever
     /// is shorter: it is too long only if all clocks are wrong in the same way.
-    pub fn least_age(self, start: Stamp, wall: Moment) -> Span {
+    pub fn min_age(self, start: StartTime, wall: Moment) -> Span {
         match self {
             Self::SinceLastContact => Span::ZERO,
             Self::BeforeFirstContact(newest) => {
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -4,54 +4,57 @@
 /// Strings, comments and the schema `staging` are ignored, and so are columns qualified by an alias: a table
 /// name follows one of the keywords below, or a comma in a list of tables.
 pub fn table_group(statement: &str) -> Option<usize> {
-    let words = Words { rest: statement };
-    let (mut expects, mut any, mut last, mut listed) = (false, None, None, false);
-    for word in words {
-        let Word::Name(name) = word else {
-            let dot = word == Word::Mark('.');
+    let tokens = Tokens { rest: statement };
+    let (mut expects_table, mut first_group, mut previous, mut in_table_list) = (false, None, None, false);
+    for token in tokens {
+        let Token::Name(name) = token else {
+            let dot = token == Token::Punctuation('.');
             // A name followed by a dot is a schema.
-            if dot && let Some((schema, table_place)) = last.take() {
-                let group = number_behind_underscore(schema);
-                if table_place && group.is_some() {
+            if dot && let Some((schema, is_table)) = previous.take() {
+                let group = number_after_underscore(schema);
+                if is_table && group.is_some() {
                     return group;
                 }
-                any = any.or(group);
+                first_group = first_group.or(group);
             }
-            expects = word == Word::Mark(',') && listed;
-            listed &= word != Word::Mark('(');
-            last = None;
+            expects_table = token == Token::Punctuation(',') && in_table_list;
+            in_table_list &= token != Token::Punctuation('(');
+            previous = None;
             continue;
         };
-        last = Some((name, expects));
+        previous = Some((name, expects_table));
         let tables = ["from", "join", "into", "update", "table", "using", "copy"];
-        let opens = tables.iter().any(|known| name.eq_ignore_ascii_case(known));
-        let between = ["only", "lateral", "if", "exists", "not"];
-        expects = opens || (expects && between.iter().any(|known| name.eq_ignore_ascii_case(known)));
-        let ends = ["where", "group", "order", "set", "values", "select", "on", "having", "limit", "union"];
-        listed = opens || (listed && !ends.iter().any(|known| name.eq_ignore_ascii_case(known)));
+        let starts_tables = tables.iter().any(|known| name.eq_ignore_ascii_case(known));
+        let fillers = ["only", "lateral", "if", "exists", "not"];
+        expects_table =
+            starts_tables || (expects_table && fillers.iter().any(|known| name.eq_ignore_ascii_case(known)));
+        let ends_tables =
+            ["where", "group", "order", "set", "values", "select", "on", "having", "limit", "union"];
+        in_table_list = starts_tables
+            || (in_table_list && !ends_tables.iter().any(|known| name.eq_ignore_ascii_case(known)));
     }
-    any
+    first_group
 }
 
-fn number_behind_underscore(schema: &str) -> Option<usize> {
+fn number_after_underscore(schema: &str) -> Option<usize> {
     let (_, digits) = schema.rsplit_once('_')?;
     digits.bytes().all(|byte| byte.is_ascii_digit()).then(|| digits.parse().ok()).flatten()
 }
 
 /// The names and punctuation marks of a statement, without its strings and comments.
-struct Words<'a> {
+struct Tokens<'a> {
     rest: &'a str,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Word<'a> {
+enum Token<'a> {
     Name(&'a str),
-    Mark(char),
+    Punctuation(char),
 }
 
-impl<'a> Words<'a> {
+impl<'a> Tokens<'a> {
     /// Returns the text up to `end`, and removes both from the rest.
-    fn cut(&mut self, end: &str) -> &'a str {
+    fn take_until(&mut self, end: &str) -> &'a str {
         let (inside, rest) = self.rest.split_once(end).unwrap_or((self.rest, ""));
         self.rest = rest;
         inside
@@ -76,13 +79,13 @@
     /// Skips a string in which a backslash escapes the next character.
     fn skip_escaped(&mut self) {
         let mut escaped = false;
-        let ends = |(_, c): &(usize, char)| {
+        let is_end = |(_, c): &(usize, char)| {
             let end = *c == '\'' && !escaped;
             escaped = *c == '\\' && !escaped;
             end
         };
-        let end = self.rest.char_indices().skip(1).find(ends);
-        self.rest = end.map_or("", |(place, _)| &self.rest[place + 1..]);
+        let end = self.rest.char_indices().skip(1).find(is_end);
+        self.rest = end.map_or("", |(index, _)| &self.rest[index + 1..]);
     }
 
     /// Skips a dollar-quoted string if one starts here; returns whether one did.
@@ -99,24 +102,24 @@
     }
 }
 
-impl<'a> Iterator for Words<'a> {
-    type Item = Word<'a>;
+impl<'a> Iterator for Tokens<'a> {
+    type Item = Token<'a>;
 
-    fn next(&mut self) -> Option<Word<'a>> {
+    fn next(&mut self) -> Option<Token<'a>> {
         loop {
             self.rest = self.rest.trim_start();
             let first = self.rest.chars().next()?;
             if self.rest.starts_with("--") {
-                self.cut("\n");
+                self.take_until("\n");
             } else if self.rest.starts_with("/*") {
                 self.skip_comment();
             } else if first == '\'' {
                 // A doubled quote inside a string is read as two adjacent strings.
                 self.rest = &self.rest[1..];
-                self.cut("'");
+                self.take_until("'");
             } else if first == '"' || first == '`' {
                 self.rest = &self.rest[1..];
-                return Some(Word::Name(self.cut(if first == '"' { "\"" } else { "`" })));
+                return Some(Token::Name(self.take_until(if first == '"' { "\"" } else { "`" })));
             } else if first == '$' && self.skip_dollars() {
             } else if first.is_alphanumeric() || first == '_' {
                 let in_name = |c: char| c.is_alphanumeric() || c == '_' || c == '$';
@@ -124,12 +127,12 @@
                 let (name, rest) = self.rest.split_at(end);
                 self.rest = rest;
                 if !(name.eq_ignore_ascii_case("e") && rest.starts_with('\'')) {
-                    return Some(Word::Name(name));
+                    return Some(Token::Name(name));
                 }
                 self.skip_escaped();
             } else {
                 self.rest = &self.rest[first.len_utf8()..];
-                return Some(Word::Mark(first));
+                return Some(Token::Punctuation(first));
             }
         }
     }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -18,12 +18,12 @@
 use crate::keyfiles::Keys;
 
 /// Requests may still arrive for this long after SIGTERM.
-const STILL_COMING: Span = Span::from_micros(600_000);
-/// SIGKILL comes `STILL_COMING` after the longest deadline, of which at most this much counts.
-const LONGEST: Span = Span::from_micros(3_000_000);
+const ARRIVAL_WINDOW: Span = Span::from_micros(600_000);
+/// SIGKILL comes `ARRIVAL_WINDOW` after the longest deadline, of which at most this much counts.
+const MAX_COUNTED_DEADLINE: Span = Span::from_micros(3_000_000);
 /// Part of that time that is reserved for writing the last answers.
-const LAST_WORDS: Span = Span::from_micros(100_000);
-const LOOK: Span = Span::from_micros(10_000);
+const FINAL_WRITE_TIME: Span = Span::from_micros(100_000);
+const POLL_INTERVAL: Span = Span::from_micros(10_000);
 
 pub enum OperatorCommand {
     /// The configuration that was read, or what is wrong with it.
@@ -33,30 +33,33 @@
     Stop,
 }
 
-/// Carries out orders as they arrive. The order to stop is passed on to `stop`; reloads continue after it.
-pub async fn heed(
-    orders: impl Stream<Item = OperatorCommand>, moves: Sender<DiscoveryMove>, stop: Sender<()>,
-    notes: Option<GossipHandle>, guards: Guards,
+/// Carries out commands as they arrive. The command to stop is passed on to `stop`; reloads continue after
+/// it.
+pub async fn execute_commands(
+    commands: impl Stream<Item = OperatorCommand>, moves: Sender<DiscoveryMove>, stop: Sender<()>,
+    gossip: Option<GossipHandle>, guards: Guards,
 ) {
-    let mut orders = std::pin::pin!(orders);
-    while let Some(order) = orders.next().await {
-        match order {
+    let mut commands = std::pin::pin!(commands);
+    while let Some(command) = commands.next().await {
+        match command {
             // Only the latest move counts, as it includes what an earlier one contained.
-            OperatorCommand::Reload(Ok(given)) => {
+            OperatorCommand::Reload(Ok(config)) => {
                 guards.report();
-                let _ =
-                    moves.force_send(DiscoveryMove { address: given.bulletin, known_events: given.known });
+                let _ = moves.force_send(DiscoveryMove {
+                    address: config.discovery_address,
+                    known_events: config.known_events,
+                });
             }
-            OperatorCommand::Reload(Err(fault)) => log::error!("the old configuration stays: {fault}"),
+            OperatorCommand::Reload(Err(error)) => log::error!("the old configuration stays: {error}"),
             OperatorCommand::ReloadKeys(Ok(keys)) => {
-                if let Some(notes) = &notes {
-                    notes.send(GossipEvent::KeysReloaded(keys));
+                if let Some(gossip) = &gossip {
+                    gossip.send(GossipEvent::KeysReloaded(keys));
                 }
             }
-            OperatorCommand::ReloadKeys(Err(fault)) => log::error!("the old operator file stays: {fault}"),
+            OperatorCommand::ReloadKeys(Err(error)) => log::error!("the old operator file stays: {error}"),
             OperatorCommand::Stop => {
-                if let Some(notes) = &notes {
-                    notes.send(GossipEvent::Stopping);
+                if let Some(gossip) = &gossip {
+                    gossip.send(GossipEvent::Stopping);
                 }
                 let _ = stop.try_send(());
             }
@@ -64,23 +67,24 @@
     }
 }
 
-/// Waits from the order to stop until the process may end. Clients may keep connections idle until they are
+/// Waits from the command to stop until the process may end. Clients may keep connections idle until they are
 /// notified of the end, or continue to send requests: each connection is closed once no answer is owed on it,
 /// and none delays the end beyond its time.
-pub async fn wait(
-    clock: Clock, longest: Span, owing: &Cell<usize>, connections: &Connections, intake: &Acceptor,
-    module: Sender<Event>,
+pub async fn shut_down(
+    clock: Clock, max_job_timeout: Span, answers_owed: &Cell<usize>, connections: &Connections,
+    acceptor: &Acceptor, events: Sender<Event>,
 ) {
-    let told = clock.now();
-    let by = told + longest.min(LONGEST) + STILL_COMING.saturating_sub(LAST_WORDS);
+    let began = clock.now();
+    let last_answer_due =
+        began + max_job_timeout.min(MAX_COUNTED_DEADLINE) + ARRIVAL_WINDOW.saturating_sub(FINAL_WRITE_TIME);
     log::info!("stopping");
-    let _ = module.send(Event::Stopping { last_answer_due: by }).await;
-    clock.sleep_until(told + STILL_COMING + LAST_WORDS).await;
+    let _ = events.send(Event::Stopping { last_answer_due }).await;
+    clock.sleep_until(began + ARRIVAL_WINDOW + FINAL_WRITE_TIME).await;
     connections.close_when_idle();
     let all_gone = async {
-        while owing.get() > 0 || !connections.is_empty() || !intake.has_no_pending() {
-            sleep(LOOK).await;
+        while answers_owed.get() > 0 || !connections.is_empty() || !acceptor.has_no_pending() {
+            sleep(POLL_INTERVAL).await;
         }
     };
-    all_gone.or(clock.sleep_until(by + LAST_WORDS)).await;
+    all_gone.or(clock.sleep_until(last_answer_due + FINAL_WRITE_TIME)).await;
 }
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -13,9 +13,9 @@
 use woadhook_flow_control::timer_wheel::{TimerKey, TimerWheel};
 
 /// The resolution of the wheel.
-const TICK: Span = Span::from_micros(1_000);
+const RESOLUTION: Span = Span::from_micros(1_000);
 /// Maximum number of deadlines that are processed before other tasks run.
-const STEP: usize = 256;
+const MAX_EXPIRED_PER_STEP: usize = 256;
 
 thread_local! {
     static TIMERS: Timers = Timers::new();
@@ -26,14 +26,14 @@
     /// Entries are removed when deadlines end or are dropped.
     wheel: RefCell<TimerWheel<Waker>>,
     /// Until when the driver sleeps; `None` while it is awake.
-    asleep: Cell<Option<Moment>>,
-    earlier: Event,
+    asleep_until: Cell<Option<Moment>>,
+    earlier_deadline: Event,
 }
 
 impl Timers {
     fn new() -> Self {
-        let wheel = RefCell::new(TimerWheel::new(Moment::default(), TICK));
-        Self { started: Instant::now(), wheel, asleep: Cell::new(None), earlier: Event::new() }
+        let wheel = RefCell::new(TimerWheel::new(Moment::default(), RESOLUTION));
+        Self { started: Instant::now(), wheel, asleep_until: Cell::new(None), earlier_deadline: Event::new() }
     }
 
     /// Time on the monotonic clock since this thread's first deadline.
@@ -43,8 +43,8 @@
 
     fn start(&self, at: Moment, waker: Waker) -> TimerKey {
         let key = self.wheel.borrow_mut().insert(at, waker);
-        if self.asleep.get().is_some_and(|until| at < until) {
-            self.earlier.notify(1);
+        if self.asleep_until.get().is_some_and(|until| at < until) {
+            self.earlier_deadline.notify(1);
         }
         key
     }
@@ -56,40 +56,42 @@
         let mut woken = 0;
         let due = TIMERS.with(|timers| {
             let now = timers.now();
-            while woken < STEP {
+            while woken < MAX_EXPIRED_PER_STEP {
                 woken += 1;
-                let Some(waker) = timers.wheel.borrow_mut().pop_expired(now, STEP) else { break };
+                let Some(waker) = timers.wheel.borrow_mut().pop_expired(now, MAX_EXPIRED_PER_STEP) else {
+                    break;
+                };
                 waker.wake();
             }
             let due = timers.wheel.borrow().next_wake();
             let due = due.unwrap_or(now + Span::from_micros(60_000_000));
-            timers.asleep.set((due > now).then_some(due));
+            timers.asleep_until.set((due > now).then_some(due));
             (due > now).then(|| timers.started + Duration::from_micros(due.since(Moment::default()).micros()))
         });
         let Some(due) = due else {
             future::yield_now().await;
             continue;
         };
-        let earlier = TIMERS.with(|timers| timers.earlier.listen());
+        let earlier_deadline = TIMERS.with(|timers| timers.earlier_deadline.listen());
         let slept = async {
             Timer::at(due).await;
         };
-        slept.or(earlier).await;
+        slept.or(earlier_deadline).await;
     }
 }
 
 /// A future that completes at its deadline. If it is dropped before, its entry in the wheel is removed.
-pub struct Until {
+pub struct Sleep {
     at: Moment,
     key: Option<TimerKey>,
 }
 
 /// Completes when the span has passed.
-pub fn sleep(span: Span) -> Until {
-    Until { at: TIMERS.with(Timers::now) + span, key: None }
+pub fn sleep(span: Span) -> Sleep {
+    Sleep { at: TIMERS.with(Timers::now) + span, key: None }
 }
 
-impl Future for Until {
+impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
@@ -108,7 +110,7 @@
     }
 }
 
-impl Drop for Until {
+impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(key) = self.key.take() {
             let _ = TIMERS.try_with(|timers| timers.wheel.borrow_mut().cancel(key));
--- a/crates/router/src/unsettled_keys.rs
+++ b/crates/router/src/unsettled_keys.rs
@@ -13,13 +13,13 @@
 pub struct UnsettledKeys {
     /// How many queries of each key may still run; removed when they are settled.
     counts: HashMap<KeyId, usize>,
-    /// Dispatches that the module does not know, each with its key; removed when they end.
-    left_over: HashMap<DispatchId, Option<KeyId>>,
+    /// Orphans: dispatches that the module does not know, each with its key; removed when they end.
+    orphans: HashMap<DispatchId, Option<KeyId>>,
 }
 
 /// The end of a dispatch that the module does not know.
 #[derive(Debug, PartialEq, Eq)]
-pub struct LeftOverEnd {
+pub struct OrphanEnd {
     /// The order key, where its type keeps order.
     pub key: Option<KeyId>,
     /// Whether it was the last dispatch in flight of its job.
@@ -28,7 +28,7 @@
 
 impl UnsettledKeys {
     /// Records that a query of the key may still run.
-    pub fn begin(&mut self, key: KeyId) {
+    pub fn add(&mut self, key: KeyId) {
         *self.counts.entry(key).or_default() += 1;
     }
 
@@ -50,17 +50,17 @@
     }
 
     /// Records a dispatch that the module no longer knows; it may run until its end.
-    pub fn leave_over(&mut self, job: JobId, number: usize, key: Option<KeyId>) {
-        self.left_over.insert((job, number), key);
+    pub fn add_orphan(&mut self, job: JobId, number: usize, key: Option<KeyId>) {
+        self.orphans.insert((job, number), key);
         if let Some(key) = key {
-            self.begin(key);
+            self.add(key);
         }
     }
 
-    /// Takes in the end of a dispatch; returns `None` if the module knew it.
-    pub fn end_left_over(&mut self, job: JobId, number: usize) -> Option<LeftOverEnd> {
-        let key = self.left_over.remove(&(job, number))?;
-        let is_last = !self.left_over.keys().any(|(other, _)| *other == job);
-        Some(LeftOverEnd { key, is_last })
+    /// Takes in the end of a dispatch; returns `None` if the dispatch was not an orphan.
+    pub fn remove_orphan(&mut self, job: JobId, number: usize) -> Option<OrphanEnd> {
+        let key = self.orphans.remove(&(job, number))?;
+        let is_last = !self.orphans.keys().any(|(other, _)| *other == job);
+        Some(OrphanEnd { key, is_last })
     }
 }
