--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -38,6 +38,7 @@
     })
 }
 
+/// This router's part in the agreement: a node, which is active if this router votes, and a follower.
 pub struct Agreement {
     node: Node,
     follower: Follower,
@@ -60,6 +61,7 @@
         Self { node, follower, config, attestations_sent: 0, attested: None, active: None }
     }
 
+    /// Applies a new voter set, with or without this router in it.
     pub fn apply_voter_set(&mut self, now: Moment, epoch: u64, voters: &[MemberId]) {
         let nodes: Vec<NodeId> = voters.iter().map(|voter| NodeId(voter.0)).collect();
         log::info!(event = "accord_ordered", epoch, voters = nodes.len(); "new voter set: epoch {epoch}, {} voters", nodes.len());
@@ -71,6 +73,7 @@
         }
     }
 
+    /// Takes in a message that another voter sent to this one.
     pub fn receive(&mut self, now: Moment, from: MemberId, bytes: &[u8]) {
         self.node.receive(now, NodeId(from.0), bytes);
     }
@@ -96,6 +99,7 @@
         self.follower.in_force(now)
     }
 
+    /// When [`run_actions`](Self::run_actions) is due again.
     pub fn next_deadline(&self) -> Option<Moment> {
         let lapse = self.active.and_then(|_| self.follower.lease_end());
         [self.node.next_deadline(), lapse].into_iter().flatten().min()
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -6,6 +6,7 @@
 
 pub use crate::timers::sleep;
 
+/// A clock of Unix time that never runs backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -13,11 +13,14 @@
 /// Maximum length of the configuration, which includes the engine list so far.
 const MAX_CONFIG_BYTES: u64 = 16 * 1024 * 1024;
 
+/// What a router starts from.
 pub struct RouterConfig {
     pub listen: SocketAddr,
     pub seed: u64,
     pub memory_mb: f64,
+    /// The field `sockets`.
     pub max_descriptors: usize,
+    /// The address of discovery, the field `bulletin`.
     pub discovery_address: SocketAddr,
     /// The bulletin's events so far, in the format of the bulletin.
     pub known_events: Value,
@@ -38,6 +41,7 @@
     text.map(|mut text| std::mem::take(&mut *text)).map_err(|error| format!("{}: {error}", path.display()))
 }
 
+/// Parses a configuration; `listen` replaces the address in it.
 pub fn parse(json: &str, listen: Option<String>) -> Result<RouterConfig> {
     let mut config: Value = serde_json::from_str(json).map_err(|error| error.to_string())?;
     let limits = required(&config, "limits")?;
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -28,6 +28,7 @@
 use crate::starts::{EventTime, StartTime};
 use crate::unsettled_keys::UnsettledKeys;
 
+/// Capacity of the queue of events, and of the one of urgent events.
 pub const MAILBOX_CAPACITY: usize = 4096;
 /// Maximum number of events that are taken in before decisions are pulled, and of decisions that are pulled
 /// before other tasks run: what clients and discovery send meanwhile should be read soon.
@@ -46,6 +47,7 @@
     order_key: Option<KeyId>,
     /// Taken by the one answer.
     responder: Option<Responder>,
+    /// How many dispatches were made so far.
     dispatches: usize,
     /// Whether one of the dispatches ended in a way that it may have run.
     may_have_run: bool,
@@ -81,6 +83,7 @@
     }
 }
 
+/// The actor that owns the decision module.
 pub struct Dispatcher {
     clock: Clock,
     settings: Value,
@@ -666,7 +669,7 @@
     /// began.
     fn handle_orphan_end(&mut self, now: Moment, job: JobId, number: usize, in_doubt: bool) {
         let Some(end) = self.unsettled.remove_orphan(job, number) else { return };
-        // The end of a query that may still run is settled later.
+        // A query that may still run is settled later.
         if let Some(key) = end.key.filter(|_| !in_doubt) {
             self.settle(now, key);
         }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -19,6 +19,8 @@
 
 /// A message to the actor of the decision module.
 pub enum Event {
+    /// A request for a job that passed all checks. `stated_work` is the work that the client states, if any;
+    /// `memory` is in megabytes.
     JobArrived {
         client: u64,
         statement: Rc<Statement>,
@@ -31,20 +33,16 @@
         deadline: Moment,
         responder: Responder,
     },
-    Withdrawn {
-        client: u64,
-        number: u32,
-    },
-    ClientGone {
-        client: u64,
-    },
+    /// A client withdrew a request.
+    Withdrawn { client: u64, number: u32 },
+    /// The connection of a client ended.
+    ClientGone { client: u64 },
     /// The client of this job was found to be gone right before a dispatch.
-    JobAbandoned {
-        job: JobId,
-    },
-    Ping {
-        responder: Responder,
-    },
+    JobAbandoned { job: JobId },
+    /// A client asks whether this router serves.
+    Ping { responder: Responder },
+    /// A dispatch ended, so long after it was decided. `actual_cost` is the work and the memory of the query,
+    /// if its engine reported them.
     DispatchEnded {
         job: JobId,
         number: usize,
@@ -56,47 +54,23 @@
         in_doubt: bool,
     },
     /// A dispatch of this key that was in doubt has certainly ended.
-    KeySettled {
-        order_key: KeyId,
-    },
-    Progressed {
-        job: JobId,
-        number: usize,
-        progress: Progress,
-    },
-    LoadReported {
-        engine: EngineId,
-        stats: String,
-    },
-    ProbeEnded {
-        engine: EngineId,
-        outcome: Outcome,
-    },
+    KeySettled { order_key: KeyId },
+    /// An engine reported the progress of a query.
+    Progressed { job: JobId, number: usize, progress: Progress },
+    /// An engine sent a load report, which is passed on as it came.
+    LoadReported { engine: EngineId, stats: String },
+    /// A probe of an engine ended.
+    ProbeEnded { engine: EngineId, outcome: Outcome },
     /// Changes of the engine list; the answer says whether they could be read. With `skip_malformed`, lines
     /// that can't be read are left out.
-    ListReceived {
-        roster: Value,
-        event_time: EventTime,
-        skip_malformed: bool,
-        result: Sender<Result<()>>,
-    },
+    ListReceived { roster: Value, event_time: EventTime, skip_malformed: bool, result: Sender<Result<()>> },
     /// An engine sent this many bytes of an answer: the time until the first byte, and from there until the
     /// last one.
-    PageReceived {
-        engine: EngineId,
-        bytes: usize,
-        time_to_first_byte: Span,
-        transfer_time: Span,
-    },
+    PageReceived { engine: EngineId, bytes: usize, time_to_first_byte: Span, transfer_time: Span },
     /// What other routers report of an engine, by name.
-    PeerReport {
-        engine: String,
-        reservation_type: Option<String>,
-        suspicion: f64,
-    },
-    Stopping {
-        last_answer_due: Moment,
-    },
+    PeerReport { engine: String, reservation_type: Option<String>, suspicion: f64 },
+    /// The router stops; all answers are due at that time.
+    Stopping { last_answer_due: Moment },
 }
 
 /// A client's request, unchanged.
@@ -132,11 +106,13 @@
         self.is_withdrawn.set(true);
     }
 
+    /// Whether the client has neither withdrawn its request nor closed its connection.
     pub fn is_waiting(&self) -> bool {
         !self.is_withdrawn.get() && (self.connected)()
     }
 }
 
+/// A dispatch that the module decided on, for a backend to carry out.
 pub struct Dispatch {
     pub job: JobId,
     pub number: usize,
@@ -195,17 +171,22 @@
 
 /// An event that the router passes on to the gossip actor.
 pub enum GossipEvent {
+    /// The module set an engine aside, or uses it again.
     EngineJudged { engine: String, condition: EngineCondition },
+    /// A dispatch of a job of this reservation type ended.
     DispatchEnded { engine: String, reservation_type: String, outcome: Outcome },
+    /// An engine answered a probe.
     ProbeAnswered { engine: String },
+    /// The keys were read again.
     KeysReloaded(Box<Keys>),
+    /// The router stops.
     Stopping,
 }
 
 /// The engines on the list, and when each started.
 pub type EngineList = Vec<(String, Moment)>;
 
-/// Sends to the gossip actor.
+/// Sends events and engine lists to the gossip actor.
 #[derive(Clone)]
 pub struct GossipHandle {
     events: Sender<GossipEvent>,
@@ -224,10 +205,12 @@
         (Self { events, lists }, queued_events, latest_list)
     }
 
+    /// Sends an event; drops it if the queue is full.
     pub fn send(&self, event: GossipEvent) {
         let _ = self.events.try_send(event);
     }
 
+    /// Sends the engine list in place of one that was not taken yet.
     pub fn send_list(&self, list: EngineList) {
         let _ = self.lists.force_send(list);
     }
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -112,7 +112,7 @@
     }
 
     /// Makes one call and returns the status and the body of its answer, of at most `max_body_bytes` bytes.
-    /// `on_field` is called with each field of the answer's head, and `wrote` with the number of bytes of
+    /// `on_field` is called with each field of the answer's head, and `on_write` with the number of bytes of
     /// each write. An answer that is followed by further bytes is rejected, as its length may not be the true
     /// one.
     pub async fn call(
--- a/crates/router/src/keyfiles.rs
+++ b/crates/router/src/keyfiles.rs
@@ -35,6 +35,7 @@
     file.read_text(max_bytes, READ_TIMEOUT).map_err(|error| format!("{shown}: {error}"))
 }
 
+/// Reads a secret key; fails if anyone but its owner can read the file.
 pub fn read_secret(path: &Path) -> Result<SecretKey, String> {
     let text = read_text(path, MAX_KEY_FILE_BYTES, true)?;
     SecretKey::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))
@@ -60,6 +61,7 @@
     write_new(path, secret.to_text().as_bytes(), 0o600)
 }
 
+/// Writes a new file with the given mode; fails if the file exists.
 pub fn write_new(path: &Path, bytes: &[u8], mode: u32) -> Result<(), String> {
     let file = OpenOptions::new().write(true).create_new(true).mode(mode).open(path);
     let written = file.and_then(|mut file| {
--- a/crates/router/src/memory.rs
+++ b/crates/router/src/memory.rs
@@ -9,9 +9,9 @@
 use event_listener::Event;
 use woadhook_flow_control::shares::{Reservation, Shares};
 
-/// Fraction of a budget that is set aside for the guaranteed minimums, one for each possible connection.
+/// Fraction of a budget that is set aside for floors, the bytes guaranteed to each possible connection.
 const GUARANTEED_FRACTION: f64 = 0.5;
-/// What a connection may hold above its minimum, and an address in total, as multiples of the bytes that are
+/// What a connection may hold above its floor, and an address in total, as multiples of the bytes that are
 /// still free: many connections may come from one address.
 const CONNECTION_MULTIPLE_OF_FREE: f64 = 1.0;
 const ADDRESS_MULTIPLE_OF_FREE: f64 = 8.0;
@@ -24,7 +24,7 @@
     pub address: IpAddr,
 }
 
-/// Clones share the same budget.
+/// A budget of bytes, shared fairly among connections and addresses. Clones share the same budget.
 #[derive(Clone)]
 pub struct MemoryBudget(Rc<Inner>);
 
@@ -60,7 +60,7 @@
     pub fn try_acquire(&self, holder: Holder, bytes: usize) -> Option<MemoryPermit> {
         let (mut connections, mut addresses) =
             (self.0.connections.borrow_mut(), self.0.addresses.borrow_mut());
-        // A connection may always use its own minimum, whatever others of its address hold.
+        // A connection may always use its own floor, whatever others of its address hold.
         let within_floor = connections.held_by(&holder.connection) + bytes <= connections.floor();
         if !within_floor && addresses.check(&holder.address, bytes) != Reservation::Granted {
             return None;
@@ -72,6 +72,7 @@
         Some(MemoryPermit { budget: self.clone(), holder, bytes })
     }
 
+    /// Waits until the bytes are free.
     pub async fn acquire(&self, holder: Holder, bytes: usize) -> MemoryPermit {
         loop {
             let released = self.0.released.listen();
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -23,8 +23,10 @@
 const MAX_COUNTED_DEADLINE: Span = Span::from_micros(3_000_000);
 /// Part of that time that is reserved for writing the last answers.
 const FINAL_WRITE_TIME: Span = Span::from_micros(100_000);
+/// Interval between checks whether all connections have closed.
 const POLL_INTERVAL: Span = Span::from_micros(10_000);
 
+/// A command that the operators give by a signal.
 pub enum OperatorCommand {
     /// The configuration that was read, or what is wrong with it.
     Reload(Result<RouterConfig>),
--- a/crates/router/src/tasks.rs
+++ b/crates/router/src/tasks.rs
@@ -3,6 +3,7 @@
 
 use async_executor::LocalExecutor;
 
+/// A handle of the thread's executor.
 #[derive(Clone, Copy)]
 pub struct Tasks(&'static LocalExecutor<'static>);
 
--- a/crates/router/src/unsettled_keys.rs
+++ b/crates/router/src/unsettled_keys.rs
@@ -9,6 +9,7 @@
 /// The job and the number of a dispatch.
 type DispatchId = (JobId, usize);
 
+/// The keys in doubt and the orphaned dispatches of this host.
 #[derive(Default)]
 pub struct UnsettledKeys {
     /// How many queries of each key may still run; removed when they are settled.
