--- a/crates/flow-control/src/engine_rates.rs
+++ b/crates/flow-control/src/engine_rates.rs
@@ -1,86 +1,97 @@
-//! How engines send, against one another: an engine that answers well may still send at a crawl.
+//! Transfer rates of engines compared with one another: an engine that answers promptly may still send its
+//! results very slowly.
 
 use std::collections::BTreeMap;
 
 use woadhook::Span;
 
-/// Transfers that a mean remembers.
-const MEMORY: f64 = 16.0;
-/// Bytes below which a transfer tells nothing of a rate.
-const TELLING: usize = 512;
-/// A rate of which others' transfers take less than this is not asked for.
-const UNTOLD: f64 = 4.0;
+/// Maximum weight of an engine's past transfers: plain means up to this number of transfers, moving means
+/// after it.
+const MAX_SAMPLES: f64 = 16.0;
+/// A transfer of fewer bytes says nothing about a rate and is ignored.
+const MIN_TRANSFER_BYTES: usize = 512;
+/// Engines with fewer transfers than this do not count for the median.
+const MIN_SAMPLES: f64 = 4.0;
 
-/// One engine's sending.
+/// Mean transfer times of one engine.
 #[derive(Clone, Copy, Debug)]
-struct Sending {
-    /// Seconds a byte, and to the first byte.
-    per_byte: f64,
-    first: f64,
+struct TransferMeans {
+    /// Seconds per byte, and seconds to the first byte.
+    seconds_per_byte: f64,
+    first_byte_seconds: f64,
     samples: f64,
 }
 
-/// Results that the usual size remembers.
-const RESULTS: f64 = 32.0;
+/// Number of results over which the moving mean of the result size is taken.
+const RESULT_SIZE_WINDOW: f64 = 32.0;
 
-/// Engines by number. A line goes with its engine.
+/// Transfer statistics by engine number. An entry stays until its engine is removed.
 #[derive(Default)]
 pub struct EngineRates {
-    /// Bytes of a usual result.
-    usual: f64,
-    /// Seconds a byte at the engine in the middle, if enough was seen of two at least.
-    middle: Option<f64>,
-    engines: BTreeMap<usize, Sending>,
+    /// Moving mean of the result size in bytes.
+    mean_result_bytes: f64,
+    /// Seconds per byte of the median engine; `None` until at least two engines have enough transfers.
+    median: Option<f64>,
+    engines: BTreeMap<usize, TransferMeans>,
 }
 
 impl EngineRates {
-    /// A body of so many bytes came in so long, its first byte after so long.
-    pub fn record_transfer(&mut self, engine: usize, bytes: usize, first: Span, body: Span) {
-        if bytes < TELLING {
+    /// Records a body of `bytes` bytes: `time_to_first_byte` is the time to its first byte, `body_time` the
+    /// time from there to its last byte.
+    pub fn record_transfer(
+        &mut self, engine: usize, bytes: usize, time_to_first_byte: Span, body_time: Span,
+    ) {
+        if bytes < MIN_TRANSFER_BYTES {
             return;
         }
-        let per_byte = body.secs() / bytes as f64;
-        let sending =
-            self.engines.entry(engine).or_insert(Sending { per_byte, first: first.secs(), samples: 0.0 });
-        sending.samples = (sending.samples + 1.0).min(MEMORY);
-        sending.per_byte += (per_byte - sending.per_byte) / sending.samples;
-        sending.first += (first.secs() - sending.first) / sending.samples;
-        self.middle = self.find_middle();
+        let seconds_per_byte = body_time.secs() / bytes as f64;
+        let means = self.engines.entry(engine).or_insert(TransferMeans {
+            seconds_per_byte,
+            first_byte_seconds: time_to_first_byte.secs(),
+            samples: 0.0,
+        });
+        means.samples = (means.samples + 1.0).min(MAX_SAMPLES);
+        means.seconds_per_byte += (seconds_per_byte - means.seconds_per_byte) / means.samples;
+        means.first_byte_seconds += (time_to_first_byte.secs() - means.first_byte_seconds) / means.samples;
+        self.median = self.find_median();
     }
 
-    /// A whole result of so many bytes.
+    /// Records the size of a complete result.
     pub fn record_result_size(&mut self, bytes: usize) {
-        self.usual += (bytes as f64 - self.usual) / RESULTS;
+        self.mean_result_bytes += (bytes as f64 - self.mean_result_bytes) / RESULT_SIZE_WINDOW;
     }
 
     pub fn remove(&mut self, engine: usize) {
         if self.engines.remove(&engine).is_some() {
-            self.middle = self.find_middle();
+            self.median = self.find_median();
         }
     }
 
-    fn find_middle(&self) -> Option<f64> {
-        let known = self.engines.values().filter(|sending| sending.samples >= UNTOLD);
-        let mut each: Vec<f64> = known.map(|sending| sending.per_byte).collect();
-        let place = each.len().saturating_sub(1) / 2;
-        (each.len() >= 2).then(|| *each.select_nth_unstable_by(place, f64::total_cmp).1)
+    fn find_median(&self) -> Option<f64> {
+        let known = self.engines.values().filter(|means| means.samples >= MIN_SAMPLES);
+        let mut rates: Vec<f64> = known.map(|means| means.seconds_per_byte).collect();
+        let index = rates.len().saturating_sub(1) / 2;
+        (rates.len() >= 2).then(|| *rates.select_nth_unstable_by(index, f64::total_cmp).1)
     }
 
-    /// The rate below which a body is too slow, in bytes a second: a share of the middle engine's, and never more than `max_rate`.
+    /// Returns the rate in bytes per second below which a body is too slow: a share of the median engine's
+    /// rate, capped at `max_rate`; `max_rate` itself while there is no median.
     pub fn min_rate(&self, share: f64, max_rate: f64) -> f64 {
-        self.middle.map_or(max_rate, |middle| (share / middle.max(1e-9)).min(max_rate))
+        self.median.map_or(max_rate, |median| (share / median.max(1e-9)).min(max_rate))
     }
 
-    /// How much longer a usual result takes from this engine than from the one in the middle.
+    /// Returns how much longer a result of mean size takes from this engine than from the median engine.
     pub fn extra_transfer_time(&self, engine: usize) -> Span {
-        let Some((own, middle)) = self.engines.get(&engine).zip(self.middle) else { return Span::ZERO };
-        Span::from_secs((own.per_byte - middle).max(0.0) * self.usual)
+        let Some((own, median)) = self.engines.get(&engine).zip(self.median) else { return Span::ZERO };
+        Span::from_secs((own.seconds_per_byte - median).max(0.0) * self.mean_result_bytes)
     }
 
-    /// An engine's rate in bytes a second, its time to the first byte, and its place among all, the slowest 1.
+    /// Returns an engine's rate in bytes per second, its time to the first byte, and its rank by rate, where
+    /// 1 is the slowest.
     pub fn stats(&self, engine: usize) -> Option<(f64, Span, usize)> {
         let own = self.engines.get(&engine)?;
-        let slower = self.engines.values().filter(|other| other.per_byte > own.per_byte).count();
-        Some((1.0 / own.per_byte.max(1e-9), Span::from_secs(own.first), slower + 1))
+        let slower =
+            self.engines.values().filter(|other| other.seconds_per_byte > own.seconds_per_byte).count();
+        Some((1.0 / own.seconds_per_byte.max(1e-9), Span::from_secs(own.first_byte_seconds), slower + 1))
     }
 }
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,5 +1,6 @@
-//! What keeps slow and greedy peers from slowing others: deadlines in a wheel, least acceptable rates, shares of a room,
-//! turns by bytes, and how engines send against one another. Nothing here reads a clock or a socket.
+//! Keeps slow or greedy peers from slowing down others: a timer wheel, minimum transfer rates, fair shares of
+//! a memory budget, byte quanta for task scheduling, and a comparison of engines' transfer rates. Nothing
+//! here reads a clock or a socket.
 
 pub mod engine_rates;
 pub mod min_rate;
--- a/crates/flow-control/src/round_robin.rs
+++ b/crates/flow-control/src/round_robin.rs
@@ -1,30 +1,32 @@
-//! Turns by bytes: who has much to do goes on after the others have had a turn (deficit round robin, after Shreedhar and
-//! Varghese, with the executor's queue as the ring).
+//! Deficit round robin, after Shreedhar and Varghese, with the executor's queue as the ring: a task with much
+//! work goes on after the other tasks have had a turn.
 
-/// What one task may do before the others' turn.
+/// Bytes that one task may process before the others' turn.
 #[derive(Clone, Copy, Debug)]
 pub struct DeficitCounter {
     quantum: i64,
-    /// What is left of this turn; below zero it is owed by the next ones.
-    left: i64,
+    /// Bytes left in this turn; a deficit below zero is taken from the following turns.
+    balance: i64,
 }
 
 impl DeficitCounter {
-    /// `quantum` is the work of one turn, in bytes.
+    /// `quantum` is the number of bytes in one turn.
     pub fn new(quantum: usize) -> Self {
         let quantum = quantum.max(1) as i64;
-        Self { quantum, left: quantum }
+        Self { quantum, balance: quantum }
     }
 
-    /// Work was done; whether the turn is over. A call that cost more than a turn costs several.
+    /// Records processed bytes and returns whether the turn is over. One call that exceeds a quantum uses up
+    /// several turns.
     pub fn spend(&mut self, bytes: usize) -> bool {
-        self.left -= bytes as i64;
-        self.left <= 0
+        self.balance -= bytes as i64;
+        self.balance <= 0
     }
 
-    /// The others have had their turn; whether it may go on, or owes another.
+    /// Adds a quantum after the others had their turn, and returns whether the task may go on or has to skip
+    /// another turn.
     pub fn replenish(&mut self) -> bool {
-        self.left = (self.left + self.quantum).min(self.quantum);
-        self.left > 0
+        self.balance = (self.balance + self.quantum).min(self.quantum);
+        self.balance > 0
     }
 }
