--- a/crates/router/src/backends.rs
+++ b/crates/router/src/backends.rs
@@ -1,3 +1,3 @@
-//! One engine protocol each.
+//! Engine protocols, one module each.
 
 pub mod sql;
--- a/crates/router/src/backends/sql.rs
+++ b/crates/router/src/backends/sql.rs
@@ -1,4 +1,4 @@
-//! Sql engines over HTTP/1.1.
+//! SQL engines over HTTP/1.1.
 
 mod doubt;
 pub mod engine;
--- a/crates/router/src/backends/sql/doubt.rs
+++ b/crates/router/src/backends/sql/doubt.rs
@@ -1,4 +1,5 @@
-//! Whether a query may run on at its engine, for all that was heard of it since its POST began.
+//! Tracks whether a query may still run at its engine, from everything that was received about it since its
+//! POST began.
 
 use std::cell::Cell;
 
@@ -9,107 +10,110 @@
 /// What is known of one query.
 #[derive(Default)]
 pub struct Doubt {
-    /// Why nothing shows yet that it runs no more; nothing where something does.
-    open: Cell<Option<Cause>>,
+    /// Why the query may still run; `None` if there is evidence that it does not.
+    cause: Cell<Option<Cause>>,
     is_given_up: Cell<bool>,
     /// Whether the engine refused a connection.
     is_refused: Cell<bool>,
-    /// Whether what answers at the engine's address may be another process than the one that has it.
+    /// Whether the process that answers at the engine's address may be another one than the process that has
+    /// the query.
     may_be_another_process: Cell<bool>,
-    /// Whether the process that has it told that it is over.
-    is_over: Cell<bool>,
+    /// Whether the process that has the query reported its end.
+    has_ended: Cell<bool>,
 }
 
-/// Why a query may run on.
+/// Why a query may still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// It was given up, and no engine has confirmed that.
     GivenUp,
-    /// Its engine refused a connection as it was asked for.
+    /// Its engine refused the connection for a poll.
     Refused,
-    /// What answers at its engine's address may be another process: a connection broke or was refused, or what told that it was given up came
-    /// over a later connection than the query.
+    /// Another process may answer at its engine's address: a connection broke or was refused, or the
+    /// confirmation that it was given up came over a later connection than the query.
     AnotherProcess,
-    /// Its engine answered with an error, which it does as well where it does not know the query.
+    /// Its engine answered with an error, which engines also send for a query that they don't know.
     EngineError,
     /// Its task panicked.
     Panic,
 }
 
-/// Why a query surely runs no more.
+/// Why a query has certainly ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// The process that has it confirmed that it was given up, or told its end.
+    /// The process that has it confirmed that it was given up, or reported its end.
     Confirmed,
-    /// Nobody asked for it so long that its engine ended it, and something answered there.
+    /// It was not polled for so long that its engine has ended it, and something answered at the engine's
+    /// address.
     Expired,
-    /// Its engine refuses connections, and its client's time is over.
+    /// Its engine refuses connections, and the client's deadline has passed.
     RefusedAfterDeadline,
-    /// Its engine was told gone so long ago.
+    /// Its engine has been listed as gone for as long as an unpolled query lives.
     EngineGone,
 }
 
 impl Doubt {
-    /// Nothing shows any more that it runs no more.
-    pub fn begin(&self, cause: Cause) {
-        self.open.set(Some(cause));
+    /// Marks the query as one that may still run.
+    pub fn note_cause(&self, cause: Cause) {
+        self.cause.set(Some(cause));
     }
 
-    /// It is being given up.
-    pub fn give_up(&self) {
+    /// Notes that the query is being given up.
+    pub fn note_give_up(&self) {
         self.is_given_up.set(true);
-        self.begin(Cause::GivenUp);
+        self.note_cause(Cause::GivenUp);
     }
 
-    /// The process that has it told that it is over, over the connection that its POST went over.
-    pub fn end(&self) {
-        self.is_over.set(true);
+    /// Notes that the process that has the query reported its end, over the connection that carried the POST.
+    pub fn note_end(&self) {
+        self.has_ended.set(true);
     }
 
-    /// Something at its engine's address told that it was given up.
+    /// Notes that some process at the engine's address confirmed that the query was given up.
     pub fn note_deleted_by_address(&self) {
-        self.open.set(None);
+        self.cause.set(None);
         self.may_be_another_process.set(true);
     }
 
-    /// Nothing is known of it any more, but that it may run.
-    pub fn begin_all(&self) {
-        self.begin(Cause::Panic);
+    /// Notes a panic of its task: nothing more is known than that the query may still run.
+    pub fn note_panic(&self) {
+        self.note_cause(Cause::Panic);
         self.may_be_another_process.set(true);
     }
 
-    /// A call got no answer.
-    pub fn note_break(&self, fault: &CallError) {
-        self.is_refused.set(self.is_refused.get() || matches!(fault, CallError::Refused));
-        if fault.is_break() {
+    /// Notes a call that got no answer.
+    pub fn note_break(&self, error: &CallError) {
+        self.is_refused.set(self.is_refused.get() || matches!(error, CallError::Refused));
+        if error.is_break() {
             self.note_another_process();
         }
     }
 
-    /// What answers there since may be another process.
+    /// Notes that another process may answer at the engine's address from now on.
     pub fn note_another_process(&self) {
         self.may_be_another_process.set(true);
     }
 
-    pub fn is_over(&self) -> bool {
-        self.is_over.get()
+    pub fn has_ended(&self) -> bool {
+        self.has_ended.get()
     }
 
     pub fn is_open(&self) -> bool {
-        self.open.get().is_some()
+        self.cause.get().is_some()
     }
 
     pub fn is_refused(&self) -> bool {
         self.is_refused.get()
     }
 
-    /// Why it may run on behind such an end, once it has begun; nothing where it can't.
+    /// Returns why a query that has begun may still run after such an outcome; `None` if it can't.
     pub fn cause(&self, outcome: Outcome) -> Option<Cause> {
-        if outcome == Outcome::Done || self.is_over.get() {
+        if outcome == Outcome::Done || self.has_ended.get() {
             return None;
         }
-        let another = self.may_be_another_process.get().then_some(Cause::AnotherProcess);
-        let untold = (self.is_given_up.get() && outcome == Outcome::Error).then_some(Cause::EngineError);
-        self.open.get().or(another).or(untold)
+        let another_process = self.may_be_another_process.get().then_some(Cause::AnotherProcess);
+        let engine_error =
+            (self.is_given_up.get() && outcome == Outcome::Error).then_some(Cause::EngineError);
+        self.cause.get().or(another_process).or(engine_error)
     }
 }
--- a/crates/router/src/backends/sql/engine.rs
+++ b/crates/router/src/backends/sql/engine.rs
@@ -19,9 +19,9 @@
 use crate::sockets::with_timeout;
 use crate::tasks::Tasks;
 
-/// No answer to a control call holds more.
-const BODY_BYTES: usize = 4 * 1024;
-/// What all engines are given alike: there is one of it, which they share.
+/// Maximum length of the answer to a control call.
+const MAX_CONTROL_ANSWER_BYTES: usize = 4 * 1024;
+/// What all engines share.
 pub struct EngineContext {
     pub clock: Clock,
     pub tasks: Tasks,
@@ -31,11 +31,12 @@
     pub connect_timeout: Span,
     /// Whether probes ask for a load report.
     pub wants_load_reports: bool,
-    /// For results.
+    /// Memory for results.
     pub result_memory: MemoryBudget,
-    /// How slowly pages may come: bytes a second at most asked for, and the grace.
+    /// Minimum rate required of result pages, with the grace period. The dispatcher lowers the rate from its
+    /// configured maximum.
     pub min_rate: Rc<Cell<MinRate>>,
-    /// Ends of probes go ahead of what else the module is told.
+    /// For the ends of probes, which the dispatcher takes before other events.
     pub urgent: Sender<Event>,
     pub guards: Guards,
     pub freshness: ListFreshness,
@@ -44,21 +45,21 @@
 /// What the queries at one engine share.
 pub struct Engine {
     pub context: Rc<EngineContext>,
-    /// Tells its connections from those of an earlier one.
+    /// Tells its connections apart from those of an earlier engine.
     pub serial: u64,
     pub address: SocketAddr,
-    /// Whether nothing was heard of its draining or end.
+    /// Whether it was not reported as draining or gone.
     pub is_live: Cell<bool>,
-    /// Whether it is no more.
+    /// Whether it is gone.
     pub is_gone: Cell<bool>,
 }
 
 impl Engine {
-    pub async fn lease(&self, pool: &Rc<ConnectionPool>) -> Result<PooledConnection, CallError> {
+    pub async fn acquire(&self, pool: &Rc<ConnectionPool>) -> Result<PooledConnection, CallError> {
         pool.acquire(self.serial, self.address, self.context.connect_timeout).await
     }
 
-    /// A short call beside the queries' own: giving up or a new priority.
+    /// A short call separate from the queries' own: giving up a query, or a new priority.
     pub async fn control_call(&self, method: &str, path: &str, body: &str) -> Result<u16, CallError> {
         self.short_call(&self.context.control_calls, method, path, body, |_, _| ()).await
     }
@@ -66,9 +67,9 @@
     pub async fn short_call(
         &self, pool: &Rc<ConnectionPool>, method: &str, path: &str, body: &str, field: impl FnMut(&str, &str),
     ) -> Result<u16, CallError> {
-        let mut connection = self.lease(pool).await?;
+        let mut connection = self.acquire(pool).await?;
         let head = request_head(method, path, self.address, &[], body.len());
-        let call = connection.call(&head, body.as_bytes(), BODY_BYTES, |_| (), field);
+        let call = connection.call(&head, body.as_bytes(), MAX_CONTROL_ANSWER_BYTES, |_| (), field);
         let answer = with_timeout(self.context.connect_timeout, call).await;
         let (status, _) = answer.unwrap_or(Err(CallError::NoAnswerInTime))?;
         Ok(status)
--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -1,125 +1,134 @@
-//! Giving up a query that is out, and finding out that it surely runs no more.
+//! Gives up a query that was sent, and determines when it has certainly ended.
 
 use std::pin::Pin;
 
 use woadhook::{Moment, Span};
 
 use crate::backends::sql::doubt::Settlement;
-use crate::backends::sql::query::{ASK_AGAIN, End, Out, PAGE_BYTES, PAUSE, SETTLE};
+use crate::backends::sql::query::{
+    ANSWER_TIMEOUT, MAX_PAGE_BYTES, Query, QueryEnd, RETRY_PAUSE, SETTLE_INTERVAL,
+};
 use crate::clock::sleep;
 use crate::faults::CallError;
 use crate::http::request_head;
 use crate::pool::PooledConnection;
 use crate::sockets::with_timeout;
 
-/// How long a query lives at most behind a call for it: news take up to 250 ms, and then 2 s without a call.
-const EXPIRY: Span = Span::from_micros(2_250_000);
-/// The status of a DELETE that gave its query up. By the protocol there is no other: behind any other, the engine may have failed, or what
-/// answers is another server that has the port by now.
-const DELETED: u16 = 204;
+/// Maximum time that a query runs on after the last poll: the answer to a poll may take up to 250 ms, and an
+/// engine ends a query after 2 s without a poll.
+const QUERY_EXPIRY: Span = Span::from_micros(2_250_000);
+/// Status of a DELETE that gave its query up, the only one in the protocol. After any other status, the
+/// engine may have failed, or another server that now has the port may have answered.
+const GIVEN_UP_STATUS: u16 = 204;
 
-/// Over which connection a query is given up.
+/// The connection over which a query is given up.
 #[derive(Clone, Copy, Debug)]
 enum Over {
-    /// The one that its POST went over, which ends at the process that has the query.
+    /// The connection that carried its POST, which leads to the process that has the query.
     Own,
-    /// Any other, which may end at a process that has the port by now.
+    /// Any other connection, which may lead to another process that now has the port.
     Another,
 }
 
-impl Out {
-    /// Deletes the query, until an engine has answered that, nothing listens there, or nobody asked for it so long
-    /// that the engine has ended it by itself, unless it hangs.
+impl Query {
+    /// Deletes the query. It repeats the call until an engine has answered it, nothing listens there, or the
+    /// query was not polled for so long that the engine has ended it by itself, unless the engine hangs.
     pub async fn give_up(&self) {
-        self.doubt.give_up();
+        self.doubt.note_give_up();
         while let Err(error) = self.delete().await {
-            self.unheard("deleted", &error);
-            if self.doubt.is_refused() || self.now() >= self.expires() {
+            self.log_no_answer("deleted", &error);
+            if self.doubt.is_refused() || self.now() >= self.expiry() {
                 return;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Gives up a query over the connection that its POST went over, once the call under way there is answered. Threat: an engine that
-    /// drains closes its port and works on, so that a call over a new connection is refused, or reaches another process that has the port by
-    /// now and confirms what it never had. It costs a key, behind a query that is given up, one call for news, 250 ms at most at an engine
-    /// that is well; where that connection is gone, the query's expiry. Where a POST was not written whole, it never runs if it stays so.
-    pub async fn give_up_over_own(&self, work: Pin<&mut impl Future<Output = End>>) {
+    /// Gives up a query over the connection that carried its POST, once the call under way there is answered.
+    /// Threat: a draining engine closes its port and works on, so that a call over a new connection is
+    /// refused, or reaches another process that now has the port and confirms the end of a query that it
+    /// never had. Cost: the key of a query that is given up waits for one poll, at most 250 ms at a healthy
+    /// engine; if that connection is gone, it waits for the query's expiry. If a POST was not written
+    /// completely, it never runs as long as that remains so.
+    pub async fn give_up_over_own(&self, work: Pin<&mut impl Future<Output = QueryEnd>>) {
         if self.is_posted.get() {
-            self.stops.set(true);
-            with_timeout(ASK_AGAIN, work).await;
+            self.give_up_requested.set(true);
+            with_timeout(ANSWER_TIMEOUT, work).await;
         }
     }
 
-    /// One call that gives it up.
+    /// Gives the query up with one call.
     async fn delete(&self) -> Result<(), CallError> {
         let status = self.engine.control_call("DELETE", &self.path(), "").await;
         self.note_delete(Over::Another, status)
     }
 
-    /// The same over the connection that its news came over, which no other query is sent over behind that: it may lead to a process that
-    /// drains, while another has the port by now.
-    pub async fn delete_over(&self, lease: &mut PooledConnection) {
+    /// Gives the query up over the connection of its polls, which carries no other query after that: it may
+    /// lead to a draining process while another process now has the port.
+    pub async fn delete_over(&self, connection: &mut PooledConnection) {
         let head = request_head("DELETE", &self.path(), self.engine.address, &[], 0);
-        let call = lease.call(&head, &[], PAGE_BYTES, |_| (), |_, _| ());
+        let call = connection.call(&head, &[], MAX_PAGE_BYTES, |_| (), |_, _| ());
         let answer = with_timeout(self.engine.context.connect_timeout, call).await;
-        lease.reusable = false;
+        connection.reusable = false;
         let status = answer.unwrap_or(Err(CallError::NoAnswerInTime)).map(|(status, _)| status);
-        let over = if self.is_own.get() { Over::Own } else { Over::Another };
-        if let Err(fault) = self.note_delete(over, status) {
-            self.unheard("deleted over its connection", &fault);
+        let over = if self.on_post_connection.get() { Over::Own } else { Over::Another };
+        if let Err(error) = self.note_delete(over, status) {
+            self.log_no_answer("deleted over its connection", &error);
         }
     }
 
     fn note_delete(&self, over: Over, status: Result<u16, CallError>) -> Result<(), CallError> {
-        let status = status.inspect_err(|fault| self.doubt.note_break(fault))?;
+        let status = status.inspect_err(|error| self.doubt.note_break(error))?;
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
         log::debug!(event = "delete_answered", job = job.as_str(), number, status, over:? = over; "DELETE answered {status} over {over:?}");
         match over {
-            _ if status != DELETED => {}
-            Over::Own => self.doubt.end(),
+            _ if status != GIVEN_UP_STATUS => {}
+            Over::Own => self.doubt.note_end(),
             Over::Another => self.doubt.note_deleted_by_address(),
         }
         Ok(())
     }
 
-    /// When the engine has ended it by itself at the latest, as nobody asks for it any more.
-    fn expires(&self) -> Moment {
-        self.asked.get() + EXPIRY
+    /// The latest time at which the engine has ended the query by itself, because it is no longer polled.
+    fn expiry(&self) -> Moment {
+        self.last_poll.get() + QUERY_EXPIRY
     }
 
-    /// Waits until it surely runs no more, and tells why: the process that has it said so, or something answers there so late that nobody
-    /// asked for the query for as long as it lives, or the engine refuses every connection and its client's time
-    /// is over, or it was told gone as long ago as a query lives that nobody asks for. But for the first of these it
-    /// always waits for its expiry. Threat: a port that refuses shows that no query begins there, not that one that came
-    /// before has ended, as an engine that drains closes its port and works on until it ends, some time after it is told
-    /// gone; a process that was started anew, or has the port of another, knows nothing of it. The next of its key would run beside it. It also
-    /// catches engines listed as gone early. Behind a reset, or an engine that fails, it costs the key the rest of the expiry; behind a
-    /// crash all of the first one's time, or until the engine is told gone or answers anew.
+    /// Waits until the query has certainly ended, and returns why: the process that has it reported so;
+    /// something answers at the address so late that the query, unpolled, has expired; the engine refuses
+    /// every connection and the client's deadline has passed; or the engine has been listed as gone for as
+    /// long as an unpolled query lives. In all cases but the first, it waits for the query's expiry.
+    ///
+    /// Threat: a port that refuses connections shows that no query begins there, not that an earlier one has
+    /// ended, because a draining engine closes its port and works on until it ends, some time after it is
+    /// listed as gone; a process that was restarted, or that took over the port of another, does not know the
+    /// query. The next query of the same key would run beside it. This also covers engines that are listed as
+    /// gone early. Cost: after a reset, or with an engine that fails, the key waits for the rest of the
+    /// expiry; after a crash, for the whole deadline of the first query, or until the engine is listed as
+    /// gone or answers again.
     pub async fn settle(&self) -> Settlement {
-        if self.doubt.is_over() {
+        if self.doubt.has_ended() {
             return Settlement::Confirmed;
         }
         let settlement = self.expiry_or_end_of_engine().await;
-        self.engine.context.clock.sleep_until(self.expires()).await;
+        self.engine.context.clock.sleep_until(self.expiry()).await;
         settlement
     }
 
     async fn expiry_or_end_of_engine(&self) -> Settlement {
         let mut gone_since = None;
         while self.doubt.is_open() {
-            sleep(SETTLE).await;
+            sleep(SETTLE_INTERVAL).await;
             let now = self.now();
             gone_since = self.engine.is_gone.get().then(|| gone_since.unwrap_or(now));
-            if gone_since.is_some_and(|since| now.since(since) >= EXPIRY) {
+            if gone_since.is_some_and(|since| now.since(since) >= QUERY_EXPIRY) {
                 return Settlement::EngineGone;
             }
             let deleted = self.delete().await;
-            if deleted.is_ok() && now >= self.expires() {
+            if deleted.is_ok() && now >= self.expiry() {
                 return Settlement::Expired;
             }
-            let refused = deleted.is_err_and(|fault| matches!(fault, CallError::Refused));
+            let refused = deleted.is_err_and(|error| matches!(error, CallError::Refused));
             if refused && now >= self.dispatch.deadline {
                 return Settlement::RefusedAfterDeadline;
             }
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -1,4 +1,4 @@
-//! The module's hold on an engine, through which it starts queries and probes there.
+//! The dispatcher's handle of an engine, through which it starts queries and probes there.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
 use crate::faults::CallError;
 use crate::tasks::Tasks;
 
-/// A probe that breaks, makes no sense or hears nothing is made again so often, as that may be noise on the
+/// Maximum attempts at a probe that breaks, gets a malformed answer or none, since that may be noise on the
 /// connection.
-const PROBES: usize = 3;
+const MAX_PROBE_ATTEMPTS: usize = 3;
 
 pub enum EngineCall {
     Run(Dispatch, Receiver<u8>),
     Probe(EngineId),
 }
 
-/// The module's hold on an engine. It takes no memory for work that may come: with thousands of engines listed, nearly
-/// all have none.
+/// The dispatcher's handle of an engine. It allocates nothing for future work: with thousands of engines
+/// listed, nearly all have no work.
 pub struct EngineHandle {
     pub engine: Rc<Engine>,
-    module: Sender<Event>,
+    events: Sender<Event>,
 }
 
 impl EngineHandle {
-    pub fn new(context: &Rc<EngineContext>, serial: u64, address: SocketAddr, module: Sender<Event>) -> Self {
+    pub fn new(context: &Rc<EngineContext>, serial: u64, address: SocketAddr, events: Sender<Event>) -> Self {
         let engine = Rc::new(Engine {
             context: context.clone(),
             serial,
@@ -38,16 +38,17 @@
             is_live: Cell::new(true),
             is_gone: Cell::new(false),
         });
-        Self { engine, module }
+        Self { engine, events }
     }
 
-    /// Starts it as a task of its own. What bounds these tasks is the module: its limit on the threads in flight bounds the
-    /// queries that are out, it has one probe out at each engine, and its host carries out so many decisions a turn.
+    /// Starts the call as a task of its own. The dispatcher bounds the number of these tasks: its limit on
+    /// threads in flight bounds the running queries, it has at most one probe running at each engine, and it
+    /// carries out a limited number of decisions per turn.
     pub fn spawn(&self, call: EngineCall) {
         let (engine, tasks) = (self.engine.clone(), self.engine.context.tasks);
         match call {
-            EngineCall::Run(dispatch, orders) => {
-                tasks.spawn(query::run(engine, dispatch, orders, self.module.clone()));
+            EngineCall::Run(dispatch, priorities) => {
+                tasks.spawn(query::run(engine, dispatch, priorities, self.events.clone()));
             }
             EngineCall::Probe(id) => {
                 let urgent = engine.context.urgent.clone();
@@ -58,7 +59,7 @@
 }
 
 impl Drop for EngineHandle {
-    /// Closes what is idle; what is in use by then goes by its age.
+    /// Closes the idle connections; those in use are closed later by age.
     fn drop(&mut self) {
         let Engine { context, serial, .. } = &*self.engine;
         context.queries.close_all(*serial);
@@ -67,38 +68,38 @@
     }
 }
 
-/// Tells the module how a probe ended: once, and whatever becomes of its task. Threat: behind a panic the module would wait for that end for
-/// good and never probe the engine again.
-struct ProbeEnd {
+/// Notifies the dispatcher of the end of a probe: once, and whatever happens to the probe's task. Threat:
+/// after a panic the dispatcher would wait for that end forever and never probe the engine again.
+struct ProbeNotifier {
     engine: EngineId,
     tasks: Tasks,
-    module: Option<Sender<Event>>,
+    events: Option<Sender<Event>>,
 }
 
-impl ProbeEnd {
-    async fn tell(mut self, outcome: Outcome) {
-        let Some(module) = self.module.take() else { return };
-        let _ = module.send(Event::ProbeEnded { engine: self.engine, outcome }).await;
+impl ProbeNotifier {
+    async fn send(mut self, outcome: Outcome) {
+        let Some(events) = self.events.take() else { return };
+        let _ = events.send(Event::ProbeEnded { engine: self.engine, outcome }).await;
     }
 }
 
-impl Drop for ProbeEnd {
+impl Drop for ProbeNotifier {
     fn drop(&mut self) {
-        let Some(module) = self.module.take() else { return };
-        let left = ProbeEnd { module: Some(module), ..*self };
-        self.tasks.spawn(left.tell(Outcome::NotIssued));
+        let Some(events) = self.events.take() else { return };
+        let rest = ProbeNotifier { events: Some(events), ..*self };
+        self.tasks.spawn(rest.send(Outcome::NotIssued));
     }
 }
 
-async fn probe(engine: Rc<Engine>, id: EngineId, module: Sender<Event>) {
-    let end = ProbeEnd { engine: id, tasks: engine.context.tasks, module: Some(module.clone()) };
+async fn probe(engine: Rc<Engine>, id: EngineId, events: Sender<Event>) {
+    let notifier = ProbeNotifier { engine: id, tasks: engine.context.tasks, events: Some(events.clone()) };
     let mut outcome = Outcome::NotConnected;
-    for _ in 0..PROBES {
+    for _ in 0..MAX_PROBE_ATTEMPTS {
         let (ended, stats) = probe_once(&engine).await;
         outcome = ended;
         if matches!(outcome, Outcome::Done | Outcome::TurnedAway) {
             if let Some(stats) = stats {
-                let _ = module.send(Event::LoadReported { engine: id, stats }).await;
+                let _ = events.send(Event::LoadReported { engine: id, stats }).await;
             }
             break;
         }
@@ -106,22 +107,23 @@
             break;
         }
     }
-    end.tell(outcome).await;
+    notifier.send(outcome).await;
 }
 
 async fn probe_once(engine: &Engine) -> (Outcome, Option<String>) {
     let mut stats = None;
     let path = if engine.context.wants_load_reports { "/load" } else { "/-/ok" };
-    let hear = |name: &str, value: &str| {
+    let read_field = |name: &str, value: &str| {
         if name.eq_ignore_ascii_case("X-Stats") {
             stats = Some(value.to_owned());
         }
     };
-    let outcome = match engine.short_call(&engine.context.probes, "GET", path, "", hear).await {
+    let outcome = match engine.short_call(&engine.context.probes, "GET", path, "", read_field).await {
         Ok(200) => Outcome::Done,
         Ok(503) => Outcome::TurnedAway,
         Ok(_) => Outcome::Error,
-        // What fails on this machine says nothing of the engine. Threat: one bad second would set all engines aside at once.
+        // A failure on this machine says nothing about the engine. Threat: one bad second would set all
+        // engines aside at once.
         Err(CallError::NoDescriptor | CallError::Local(_)) => Outcome::NotIssued,
         Err(CallError::Refused) => Outcome::NotConnected,
         Err(CallError::NoConnectionInTime | CallError::NoAnswerInTime | CallError::TooSlow(_)) => {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one source of the engine list each.
+//! Discovery: sources of the engine list, one module each.
 
 mod calls;
 pub mod poll;
--- a/crates/router/src/discovery/calls.rs
+++ b/crates/router/src/discovery/calls.rs
@@ -1,6 +1,6 @@
-//! The calls to discovery that are out at once, and when the next one is due. A call that is answered late is not given up:
-//! others go out beside it, so that a connection that fell silent is found out within the grace, and a discovery that is
-//! merely slow is heard all the same.
+//! The concurrent calls to discovery, and when the next one is due. A call that is answered late is not
+//! abandoned: others run beside it, so that a silent connection is found out within the grace period, and the
+//! answers of a merely slow discovery still arrive.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -10,81 +10,84 @@
 
 use woadhook::{Moment, Span};
 
-/// Calls that may be out at once, each on a connection of its own.
-pub const MOST_CALLS: usize = 6;
+/// Maximum number of concurrent calls, each on a connection of its own.
+pub const MAX_CALLS: usize = 6;
 
-/// What is left of the time that an earlier call took, by each answer.
-const FADES: f64 = 0.75;
+/// Factor by which the remembered response time decays with each answer.
+const RESPONSE_TIME_DECAY: f64 = 0.75;
 
 /// A call under way; dropping it closes its connection.
 pub type Call<T, E> = Pin<Box<dyn Future<Output = Result<T, E>>>>;
 
-/// Whether a call was written to a connection that is up; the call sets it.
-pub type Asked = Rc<Cell<bool>>;
+/// Whether the request was written to a connection that is up; the call sets it.
+pub type RequestWritten = Rc<Cell<bool>>;
 
-struct Out<T, E> {
+struct PendingCall<T, E> {
     began: Moment,
-    asked: Asked,
+    is_written: RequestWritten,
     call: Call<T, E>,
 }
 
-/// Calls to an earlier address that may still be answered.
-pub const MOST_FORMER: usize = 3;
+/// Maximum number of calls to earlier addresses that may still be answered.
+pub const MAX_FORMER_CALLS: usize = 3;
 
 /// A call that ended, and when it began.
-pub struct Ended<T, E> {
+pub struct EndedCall<T, E> {
     pub began: Moment,
     /// Whether it was made to an earlier address.
     pub is_former: bool,
     pub outcome: Result<T, E>,
 }
 
-/// Calls by their age, the oldest first.
+/// The calls under way, the oldest first.
 pub struct Calls<T, E> {
-    out: Vec<Out<T, E>>,
-    /// Those to earlier addresses: an answer to one counts, and nothing else of them does.
-    former: Vec<Out<T, E>>,
+    pending: Vec<PendingCall<T, E>>,
+    /// Calls to earlier addresses: only an answer to one of them counts, not its failure or delay.
+    former: Vec<PendingCall<T, E>>,
 }
 
 impl<T, E> Calls<T, E> {
     pub fn new() -> Self {
-        Self { out: Vec::new(), former: Vec::new() }
+        Self { pending: Vec::new(), former: Vec::new() }
     }
 
-    /// When one more call is due, where any is out. Threat: a connection that went silent under a notice to drain, or that does
-    /// not come up; so one more is due a span after the youngest. Where more than `at_pace` were asked and none was
-    /// answered, it is discovery that is crowded, and each further call would crowd it more: the span doubles with each.
-    pub fn due(&self, span: Span, at_pace: usize) -> Option<Moment> {
-        let asked = self.out.iter().filter(|out| out.asked.get()).count();
-        let spans = f64::from(1 << asked.saturating_sub(at_pace));
-        self.out.last().map(|youngest| youngest.began + span.mul_f64(spans))
+    /// Returns when one more call is due, if any is under way. Threat: a connection went silent before a
+    /// notice to drain, or does not come up; so one more call is due an interval after the youngest. If more
+    /// than `unslowed_calls` requests were written and none was answered, discovery itself is overloaded, and
+    /// each further call would add to the load: the interval doubles with each.
+    pub fn due(&self, interval: Span, unslowed_calls: usize) -> Option<Moment> {
+        let written = self.pending.iter().filter(|call| call.is_written.get()).count();
+        let intervals = f64::from(1 << written.saturating_sub(unslowed_calls));
+        self.pending.last().map(|youngest| youngest.began + interval.mul_f64(intervals))
     }
 
-    /// Sends out one more. Where too many are out, one goes whose neighbours are nearest to it in age: what is left is spread
-    /// over ages from the newest to the oldest, so that an answer is met however late discovery answers, also where some
-    /// connections are silent for good.
-    pub fn start(&mut self, began: Moment, asked: Asked, call: Call<T, E>) {
-        self.out.push(Out { began, asked, call });
-        if self.out.len() > MOST_CALLS {
-            let spread = |place: &usize| {
-                let age = |place: usize| began.since(self.out[place].began).secs();
-                age(place - 1) / age(place + 1).max(Span::from_micros(1).secs())
+    /// Adds a call. If there are too many, the call whose neighbours are closest to it in age is dropped: the
+    /// ages of those that remain are spread from the newest to the oldest, so that an answer is received
+    /// however late discovery answers, even if some connections stay silent forever.
+    pub fn start(&mut self, began: Moment, is_written: RequestWritten, call: Call<T, E>) {
+        self.pending.push(PendingCall { began, is_written, call });
+        if self.pending.len() > MAX_CALLS {
+            let spread = |index: &usize| {
+                let age = |index: usize| began.since(self.pending[index].began).secs();
+                age(index - 1) / age(index + 1).max(Span::from_micros(1).secs())
             };
-            let places = 1..self.out.len() - 1;
-            let closest = places.min_by(|a, b| spread(a).total_cmp(&spread(b))).expect("more than two");
-            drop(self.out.remove(closest));
+            let candidates = 1..self.pending.len() - 1;
+            let most_redundant =
+                candidates.min_by(|a, b| spread(a).total_cmp(&spread(b))).expect("more than two");
+            drop(self.pending.remove(most_redundant));
         }
     }
 
-    /// The first call that ends; none ends where none is out. An answer ends the calls that are older, too.
-    pub async fn next(&mut self) -> Ended<T, E> {
+    /// Waits for the first call that ends, forever if none is under way. An answer also drops the calls that
+    /// are older.
+    pub async fn next(&mut self) -> EndedCall<T, E> {
         poll_fn(|context| {
-            for place in 0..self.out.len() {
-                if let Poll::Ready(outcome) = self.out[place].call.as_mut().poll(context) {
-                    let began = self.out[place].began;
-                    let ended = if outcome.is_ok() { 0..place + 1 } else { place..place + 1 };
-                    self.out.drain(ended);
-                    return Poll::Ready(Ended { began, is_former: false, outcome });
+            for index in 0..self.pending.len() {
+                if let Poll::Ready(outcome) = self.pending[index].call.as_mut().poll(context) {
+                    let began = self.pending[index].began;
+                    let ended = if outcome.is_ok() { 0..index + 1 } else { index..index + 1 };
+                    self.pending.drain(ended);
+                    return Poll::Ready(EndedCall { began, is_former: false, outcome });
                 }
             }
             self.poll_former(context)
@@ -92,65 +95,69 @@
         .await
     }
 
-    /// The answer of a call to an earlier address; one that fails is dropped.
-    fn poll_former(&mut self, context: &mut Context<'_>) -> Poll<Ended<T, E>> {
-        let mut place = 0;
-        while place < self.former.len() {
-            let Poll::Ready(outcome) = self.former[place].call.as_mut().poll(context) else {
-                place += 1;
+    /// Polls the calls to earlier addresses for an answer; one that fails is dropped.
+    fn poll_former(&mut self, context: &mut Context<'_>) -> Poll<EndedCall<T, E>> {
+        let mut index = 0;
+        while index < self.former.len() {
+            let Poll::Ready(outcome) = self.former[index].call.as_mut().poll(context) else {
+                index += 1;
                 continue;
             };
-            let began = self.former.remove(place).began;
+            let began = self.former.remove(index).began;
             if outcome.is_ok() {
-                return Poll::Ready(Ended { began, is_former: true, outcome });
+                return Poll::Ready(EndedCall { began, is_former: true, outcome });
             }
         }
         Poll::Pending
     }
 
-    /// Calls go to another address from now on. Threat: moves in a row, each under a late answer that would have told a change. The youngest
-    /// calls to the old address are left to be answered.
+    /// Notes that calls go to another address from now on. Threat: discovery moves several times in a row,
+    /// each time before a late answer that would have reported a change. The youngest calls to the old
+    /// addresses are kept until they are answered.
     pub fn moved(&mut self) {
-        self.former.append(&mut self.out);
-        let too_many = self.former.len().saturating_sub(MOST_FORMER);
-        self.former.drain(..too_many);
+        self.former.append(&mut self.pending);
+        let excess = self.former.len().saturating_sub(MAX_FORMER_CALLS);
+        self.former.drain(..excess);
     }
 }
 
-/// How far apart calls go out.
-pub struct Pace {
-    /// A change is to be heard within this.
-    pub heard_within: Span,
-    /// How far apart they go out where answers come soon.
-    pub usual: Span,
-    /// Calls that go out at that pace, though none is answered.
-    pub unanswered: usize,
-    /// How long answered calls took of late.
-    took: Span,
+/// The interval between calls.
+pub struct CallPacing {
+    /// A change has to be received within this time.
+    pub max_delay: Span,
+    /// Interval between calls while answers arrive promptly.
+    pub usual_interval: Span,
+    /// Number of unanswered calls up to which the interval stays the same.
+    pub max_unanswered: usize,
+    /// Response time of recent calls.
+    response_time: Span,
 }
 
-impl Pace {
-    pub fn new(heard_within: Span, usual: Span, unanswered: usize) -> Self {
-        Self { heard_within, usual, unanswered, took: Span::ZERO }
+impl CallPacing {
+    pub fn new(max_delay: Span, usual_interval: Span, max_unanswered: usize) -> Self {
+        Self { max_delay, usual_interval, max_unanswered, response_time: Span::ZERO }
     }
 
-    /// Notes how long an answered call took; what earlier ones took fades.
-    pub fn answered_after(&mut self, took: Span) {
-        self.took = took.max(self.took.mul_f64(FADES));
+    /// Notes the response time of a call; earlier response times decay.
+    pub fn note_response_time(&mut self, response_time: Span) {
+        self.response_time = response_time.max(self.response_time.mul_f64(RESPONSE_TIME_DECAY));
     }
 
-    /// How far apart calls go out. Threat: a discovery whose answers are late and tell what was known as the call came: a change is heard
-    /// with the answer to the next call only, that span and an answer's time later. It may hurt where discovery is late because it
-    /// is crowded: up to so many calls as may be out at once. Where even these could not keep the time, the pace is the usual one.
-    pub fn span(&self) -> Span {
-        let in_time = self.heard_within.saturating_sub(self.took);
-        let least = self.took.mul_f64(1.0 / (MOST_CALLS - 1) as f64);
-        if in_time < least { self.usual } else { in_time.min(self.usual) }
+    /// Returns the interval between calls. Threat: discovery answers late, and with what it knew as the call
+    /// came in: a change is then received only with the answer to the next call, one interval and one
+    /// response time later. Cost: if discovery is late because it is overloaded, it gets up to the maximum
+    /// number of concurrent calls. If even these could not keep the time limit, the interval is the usual
+    /// one.
+    pub fn interval(&self) -> Span {
+        let in_time = self.max_delay.saturating_sub(self.response_time);
+        let min_interval = self.response_time.mul_f64(1.0 / (MAX_CALLS - 1) as f64);
+        if in_time < min_interval { self.usual_interval } else { in_time.min(self.usual_interval) }
     }
 
-    /// Calls that may be out before the pace slows down: those that are if answers go on taking their time.
-    pub fn at_pace(&self) -> usize {
-        let out = (self.took.secs() / self.span().secs()).ceil() as usize;
-        self.unanswered.max(out + 1).min(MOST_CALLS)
+    /// Returns how many calls may be under way before the interval grows: as many as there are if response
+    /// times stay as they are.
+    pub fn unslowed_calls(&self) -> usize {
+        let concurrent = (self.response_time.secs() / self.interval().secs()).ceil() as usize;
+        self.max_unanswered.max(concurrent + 1).min(MAX_CALLS)
     }
 }
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! The actor of discovery: it asks for the next events over and over and passes them on, none left out.
+//! The discovery actor: it requests the next events again and again and forwards them without a gap.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use woadhook_host::fields::*;
 
 use crate::clock::Clock;
-use crate::discovery::calls::{Asked, Calls, Ended, MOST_CALLS, MOST_FORMER, Pace};
+use crate::discovery::calls::{CallPacing, Calls, EndedCall, MAX_CALLS, MAX_FORMER_CALLS, RequestWritten};
 use crate::exchange::Event;
 use crate::faults::CallError;
 use crate::freshness::ListFreshness;
@@ -20,268 +20,293 @@
 use crate::sockets::{Socket, with_timeout};
 use crate::starts::EventTime;
 
-const LIST_BYTES: usize = 4 * 1024 * 1024;
-/// The longest patience that it grants.
-const LONGEST: Span = Span::from_micros(5_000_000);
-/// Part of the grace for which a call asks to wait: a change is to be heard within the grace even where the open
-/// connection went silent.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+/// Longest time for which discovery keeps a call open.
+const MAX_PATIENCE: Span = Span::from_micros(5_000_000);
+/// Part of the grace period for which a call asks to be kept open: a change has to be received within the
+/// grace period even if the open connection went silent.
 const PATIENCE_PART: f64 = 0.25;
-/// A call is overdue after so many times the patience that it asks for, and another one goes out.
-const OVERDUE: f64 = 1.5;
-/// Calls that go out at that pace, though none is answered: two in a row may have met a discovery that stood.
-const CALLS_AT_PACE: usize = 3;
-/// Part of the grace within which a change is to be heard; the rest is for taking it in.
-const HEARD_PART: f64 = 0.95;
-/// Part of the patience between a call that failed and the next.
+/// A call is overdue after this many times the wait that it asks for, and another one is sent.
+const OVERDUE_FACTOR: f64 = 1.5;
+/// Number of unanswered calls before the interval grows: two in a row may have met a discovery that was
+/// paused.
+const MAX_UNANSWERED_CALLS: usize = 3;
+/// Part of the grace period within which a change has to be received; the rest is for processing it.
+const RECEIVE_PART: f64 = 0.95;
+/// Pause between a failed call and the next, as part of the wait that a call asks for.
 const PAUSE_PART: f64 = 0.25;
-/// No call lives longer, connect and all.
-const CALL_LIFE: Span = Span::from_micros(30_000_000);
+/// Maximum duration of a call, connecting included.
+const CALL_TIMEOUT: Span = Span::from_micros(30_000_000);
 
-/// So often an event that can't be read is asked for again, as that may be noise on the connection. Threat: a line that makes
-/// no sense for good would hide all that comes behind it, notices to drain among it. Then the lines that do are taken.
-const DOUBTS: usize = 3;
+/// Number of times an event that can't be read is requested again, since that may be noise on the connection.
+/// Threat: a line that is malformed for good would hide all that follows it, notices to drain included. After
+/// this many times, the lines that can be read are used.
+const MAX_READ_FAILURES: usize = 3;
 
-/// Where discovery is from now on, and the events that were known with that.
+/// The new address of discovery, and the events that were known with it.
 pub struct DiscoveryMove {
     pub address: SocketAddr,
     pub known_events: Value,
 }
 
-/// An answer of discovery, and its connection where another call can be made over it.
+/// An answer of discovery, and its connection if that can carry another call.
 type Answer = (Value, Option<Connection>);
 
-enum Heard {
+enum Input {
     Due,
-    Ended(Ended<Answer, DiscoveryFault>),
+    Ended(EndedCall<Answer, DiscoveryError>),
     Moved(DiscoveryMove),
 }
 
-/// Follows discovery from `last`, the number of the last event known, which goes on at a new address.
+/// Follows discovery from `last`, the number of the last known event; numbering continues at a new address.
 pub async fn follow(
     clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<DiscoveryMove>,
-    module: Sender<Event>, freshness: ListFreshness,
+    events: Sender<Event>, freshness: ListFreshness,
 ) {
-    let patience = grace.mul_f64(PATIENCE_PART).min(LONGEST);
+    let patience = grace.mul_f64(PATIENCE_PART).min(MAX_PATIENCE);
     let follower = Follower {
         clock,
         address,
         patience,
         last,
-        module,
+        events,
         freshness,
-        descriptors: Arc::new(Semaphore::new(MOST_CALLS + MOST_FORMER + 1)),
+        descriptors: Arc::new(Semaphore::new(MAX_CALLS + MAX_FORMER_CALLS + 1)),
         calls: Calls::new(),
-        pace: Pace::new(grace.mul_f64(HEARD_PART), patience.mul_f64(OVERDUE), CALLS_AT_PACE),
-        kept: None,
-        retry: None,
-        fault: String::new(),
-        doubts: 0,
+        pacing: CallPacing::new(
+            grace.mul_f64(RECEIVE_PART),
+            patience.mul_f64(OVERDUE_FACTOR),
+            MAX_UNANSWERED_CALLS,
+        ),
+        idle_connection: None,
+        retry_at: None,
+        last_fault: String::new(),
+        unreadable_answers: 0,
     };
     follower.run(moves).await;
 }
 
-/// What the actor holds.
+/// The state of the actor.
 struct Follower {
     clock: Clock,
     address: SocketAddr,
-    /// How long discovery may keep a call where it has nothing to tell.
+    /// How long discovery may keep a call open while it has no event.
     patience: Span,
     last: u64,
-    module: Sender<Event>,
+    events: Sender<Event>,
     freshness: ListFreshness,
-    /// For its connections.
+    /// For the actor's connections.
     descriptors: Arc<Semaphore>,
-    calls: Calls<Answer, DiscoveryFault>,
-    pace: Pace,
-    /// The connection of the last answer.
-    kept: Option<Connection>,
-    /// When to call again behind a failed call.
-    retry: Option<Moment>,
+    calls: Calls<Answer, DiscoveryError>,
+    pacing: CallPacing,
+    /// The connection of the last answer, for the next call.
+    idle_connection: Option<Connection>,
+    /// When to call again after a failed call.
+    retry_at: Option<Moment>,
     /// The fault that was logged last.
-    fault: String,
-    /// How many answers in a row could not be taken in.
-    doubts: usize,
+    last_fault: String,
+    /// Number of consecutive answers that could not be processed.
+    unreadable_answers: usize,
 }
 
 impl Follower {
     async fn run(mut self, moves: Receiver<DiscoveryMove>) {
-        while !self.module.is_closed() {
-            let heard = self.hear(&moves).await;
-            // Passing on is never cut short, so that each event is told whole and its number kept.
-            let passed = match heard {
-                Heard::Due => {
-                    self.call();
+        while !self.events.is_closed() {
+            let input = self.next_input(&moves).await;
+            // Forwarding is never interrupted, so that each event is forwarded completely and its number
+            // recorded.
+            let forwarded = match input {
+                Input::Due => {
+                    self.start_call();
                     continue;
                 }
-                Heard::Ended(Ended { began, is_former, outcome: Ok((told, connection)) }) => {
+                Input::Ended(EndedCall { began, is_former, outcome: Ok((bulletin, connection)) }) => {
                     let connection = connection.filter(|_| !is_former);
                     if !is_former {
-                        self.pace.answered_after(self.clock.now().since(began));
+                        self.pacing.note_response_time(self.clock.now().since(began));
                     }
-                    let passed = self.answered(told, connection).await;
-                    if passed.is_ok() && !is_former {
+                    let forwarded = self.handle_answer(bulletin, connection).await;
+                    if forwarded.is_ok() && !is_former {
                         self.freshness.list_received(began);
                     }
-                    passed
+                    forwarded
                 }
-                Heard::Ended(Ended { outcome: Err(fault), .. }) => Err(fault.to_string()),
-                Heard::Moved(moved) => self.moved(moved).await,
+                Input::Ended(EndedCall { outcome: Err(error), .. }) => Err(error.to_string()),
+                Input::Moved(moved) => self.handle_move(moved).await,
             };
-            if let Err(fault) = passed {
-                self.failed(fault);
+            if let Err(fault) = forwarded {
+                self.handle_failure(fault);
             }
         }
     }
 
-    async fn hear(&mut self, moves: &Receiver<DiscoveryMove>) -> Heard {
+    async fn next_input(&mut self, moves: &Receiver<DiscoveryMove>) -> Input {
         let moved = async {
             match moves.recv().await {
-                Ok(to) => Heard::Moved(to),
+                Ok(to) => Input::Moved(to),
                 Err(_) => future::pending().await,
             }
         };
         let (clock, at) = (self.clock, self.due());
         let due = async {
             clock.sleep_until(at).await;
-            Heard::Due
+            Input::Due
         };
-        let ended = async { Heard::Ended(self.calls.next().await) };
+        let ended = async { Input::Ended(self.calls.next().await) };
         moved.or(ended).or(due).await
     }
 
-    /// When the next call goes out.
+    /// Returns when the next call is due.
     fn due(&self) -> Moment {
-        // A router that knows of no engine yet can break no rule there, and each answer to it is the whole list.
-        let (span, at_pace) =
-            if self.last == 0 { (self.pace.usual, 1) } else { (self.pace.span(), self.pace.at_pace()) };
-        let overdue = self.calls.due(span, at_pace);
-        match (self.retry, overdue) {
+        // A router that knows no engine yet can break no rule there, and each answer to it is the complete
+        // list.
+        let (span, unslowed_calls) = if self.last == 0 {
+            (self.pacing.usual_interval, 1)
+        } else {
+            (self.pacing.interval(), self.pacing.unslowed_calls())
+        };
+        let overdue = self.calls.due(span, unslowed_calls);
+        match (self.retry_at, overdue) {
             (Some(retry), Some(overdue)) => retry.min(overdue),
             (retry, overdue) => retry.or(overdue).unwrap_or_default(),
         }
     }
 
-    /// Sends out a call for the events behind the last one, if that is still due.
-    fn call(&mut self) {
+    /// Starts a call for the events after the last one, if it is still due.
+    fn start_call(&mut self) {
         if self.due() > self.clock.now() {
             return;
         }
-        self.retry = None;
-        // Behind a stand each query waits for the answer, so it is to come at once.
+        self.retry_at = None;
+        // After the process was paused, each query waits for this answer, so discovery has to give it at
+        // once.
         let patience = if self.freshness.is_stale() { Span::ZERO } else { self.patience };
         let now = self.clock.now();
         let path = format!("/bulletins?after={}&patience={}", self.last, patience.micros() / 1000);
-        let kept = self.kept.take().filter(Connection::is_ready);
-        let asked = Asked::default();
-        let call = ask(self.clock, kept, self.descriptors.clone(), self.address, path, asked.clone());
-        self.calls.start(now, asked, Box::pin(call));
+        let idle_connection = self.idle_connection.take().filter(Connection::is_ready);
+        let is_written = RequestWritten::default();
+        let call = timed_call(
+            self.clock,
+            idle_connection,
+            self.descriptors.clone(),
+            self.address,
+            path,
+            is_written.clone(),
+        );
+        self.calls.start(now, is_written, Box::pin(call));
     }
 
-    async fn answered(&mut self, told: Value, connection: Option<Connection>) -> Result<()> {
-        let in_part = self.doubts >= DOUBTS;
-        let passed = if self.last == 0 {
-            pass_on_first(&told, &mut self.last, in_part, &self.module).await
+    async fn handle_answer(&mut self, bulletin: Value, connection: Option<Connection>) -> Result<()> {
+        let skip_malformed = self.unreadable_answers >= MAX_READ_FAILURES;
+        let forwarded = if self.last == 0 {
+            forward_first(&bulletin, &mut self.last, skip_malformed, &self.events).await
         } else {
-            pass_on(&told, EventTime::SinceLastContact, &mut self.last, in_part, &self.module).await
+            forward(&bulletin, EventTime::SinceLastContact, &mut self.last, skip_malformed, &self.events)
+                .await
         };
-        if passed.is_ok() {
-            self.doubts = 0;
-            self.kept = connection;
+        if forwarded.is_ok() {
+            self.unreadable_answers = 0;
+            self.idle_connection = connection;
         } else {
-            self.doubts += 1;
+            self.unreadable_answers += 1;
         }
-        passed
+        forwarded
     }
 
-    async fn moved(&mut self, DiscoveryMove { address, known_events }: DiscoveryMove) -> Result<()> {
-        log::info!(event = "discovery_moved", to:% = address; "discovery is at {address}");
+    async fn handle_move(&mut self, DiscoveryMove { address, known_events }: DiscoveryMove) -> Result<()> {
+        log::info!(event = "discovery_moved", to:% = address; "discovery moved to {address}");
         self.address = address;
-        self.kept = None;
+        self.idle_connection = None;
         self.calls.moved();
-        self.retry = None;
+        self.retry_at = None;
         if known_events.is_object() {
-            pass_on(&known_events, EventTime::SinceLastContact, &mut self.last, false, &self.module).await
+            forward(&known_events, EventTime::SinceLastContact, &mut self.last, false, &self.events).await
         } else {
             Ok(())
         }
     }
 
-    /// Asks again on a new connection soon.
-    fn failed(&mut self, fault: String) {
-        self.retry = Some(self.clock.now() + self.patience.mul_f64(PAUSE_PART));
-        if fault != self.fault {
+    /// Schedules another call soon, on a new connection.
+    fn handle_failure(&mut self, fault: String) {
+        self.retry_at = Some(self.clock.now() + self.patience.mul_f64(PAUSE_PART));
+        if fault != self.last_fault {
             log::warn!(event = "discovery_failed"; "discovery: {fault}");
         }
-        self.fault = fault;
+        self.last_fault = fault;
     }
 }
 
-/// Why a call to discovery brought nothing.
+/// Why a call to discovery failed.
 #[derive(Debug)]
-enum DiscoveryFault {
+enum DiscoveryError {
     Call(CallError),
     Status(u16),
     Body(serde_json::Error),
 }
 
-impl fmt::Display for DiscoveryFault {
+impl fmt::Display for DiscoveryError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Call(fault) => fault.fmt(out),
+            Self::Call(error) => error.fmt(out),
             Self::Status(status) => write!(out, "status {status}"),
             Self::Body(error) => error.fmt(out),
         }
     }
 }
 
-/// One call, over the connection of the last one if there is one, which ends in its time.
-async fn ask(
-    clock: Clock, kept: Option<Connection>, descriptors: Arc<Semaphore>, address: SocketAddr, path: String,
-    asked: Asked,
-) -> std::result::Result<Answer, DiscoveryFault> {
-    let call = with_timeout(CALL_LIFE, call(clock, kept, descriptors, address, path, asked)).await;
+/// Makes one call within its maximum duration, over the connection of the last one if there is one.
+async fn timed_call(
+    clock: Clock, idle_connection: Option<Connection>, descriptors: Arc<Semaphore>, address: SocketAddr,
+    path: String, is_written: RequestWritten,
+) -> std::result::Result<Answer, DiscoveryError> {
+    let call =
+        with_timeout(CALL_TIMEOUT, call(clock, idle_connection, descriptors, address, path, is_written))
+            .await;
     let (status, body, connection) =
-        call.unwrap_or(Err(CallError::NoAnswerInTime)).map_err(DiscoveryFault::Call)?;
+        call.unwrap_or(Err(CallError::NoAnswerInTime)).map_err(DiscoveryError::Call)?;
     if status != 200 {
-        return Err(DiscoveryFault::Status(status));
+        return Err(DiscoveryError::Status(status));
     }
-    let told = serde_json::from_slice(&body).map_err(DiscoveryFault::Body)?;
-    Ok((told, connection.reusable.then_some(connection)))
+    let bulletin = serde_json::from_slice(&body).map_err(DiscoveryError::Body)?;
+    Ok((bulletin, connection.reusable.then_some(connection)))
 }
 
 async fn call(
-    clock: Clock, kept: Option<Connection>, descriptors: Arc<Semaphore>, address: SocketAddr, path: String,
-    asked: Asked,
+    clock: Clock, idle_connection: Option<Connection>, descriptors: Arc<Semaphore>, address: SocketAddr,
+    path: String, is_written: RequestWritten,
 ) -> std::result::Result<(u16, Vec<u8>, Connection), CallError> {
-    let mut connection = match kept {
-        Some(kept) => kept,
+    let mut connection = match idle_connection {
+        Some(idle_connection) => idle_connection,
         None => {
             let permit = descriptors.acquire_arc().await;
-            Connection::new(Socket::connect(address, CALL_LIFE, permit).await?, clock)
+            Connection::new(Socket::connect(address, CALL_TIMEOUT, permit).await?, clock)
         }
     };
     let head = request_head("GET", &path, address, &[], 0);
-    let wrote = |_| asked.set(true);
-    let (status, body) = connection.call(&head, &[], LIST_BYTES, wrote, |_, _| ()).await?;
+    let on_write = |_| is_written.set(true);
+    let (status, body) = connection.call(&head, &[], MAX_LIST_BYTES, on_write, |_, _| ()).await?;
     Ok((status, body, connection))
 }
 
-/// Passes on what the configuration held at the start, which may be nothing.
-pub async fn forward_known_events(known: &Value, last: &mut u64, module: &Sender<Event>) -> Result<()> {
-    if known.is_object() { pass_on_first(known, last, false, module).await } else { Ok(()) }
+/// Forwards the events in the configuration at the start, if there are any.
+pub async fn forward_known_events(known: &Value, last: &mut u64, events: &Sender<Event>) -> Result<()> {
+    if known.is_object() { forward_first(known, last, false, events).await } else { Ok(()) }
 }
 
-/// Passes on the first events that this router hears of, which may have happened at any time before.
-async fn pass_on_first(told: &Value, last: &mut u64, in_part: bool, module: &Sender<Event>) -> Result<()> {
-    let happened = EventTime::before_first_contact(array(told, "items")?);
-    pass_on(told, happened, last, in_part, module).await
+/// Forwards the first events that this router receives, which may have happened at any time before.
+async fn forward_first(
+    bulletin: &Value, last: &mut u64, skip_malformed: bool, events: &Sender<Event>,
+) -> Result<()> {
+    let event_time = EventTime::before_first_contact(array(bulletin, "items")?);
+    forward(bulletin, event_time, last, skip_malformed, events).await
 }
 
-/// Passes on the events behind `last`, of `in_part` those lines that can be read. After a gap only a whole list will do.
-async fn pass_on(
-    told: &Value, happened: EventTime, last: &mut u64, in_part: bool, module: &Sender<Event>,
+/// Forwards the events after `last`; with `skip_malformed`, only those lines that can be read. After a gap,
+/// only a complete list is accepted.
+async fn forward(
+    bulletin: &Value, event_time: EventTime, last: &mut u64, skip_malformed: bool, events: &Sender<Event>,
 ) -> Result<()> {
-    for item in array(told, "items")? {
+    for item in array(bulletin, "items")? {
         let number = integer(item, "no")?;
         if number <= *last {
             continue;
@@ -291,15 +316,15 @@
                 return Err(format!("event {} is missing", *last + 1));
             }
             let (read, answer) = async_channel::bounded(1);
-            let _ = module
+            let _ = events
                 .send(Event::ListReceived {
                     roster: roster.clone(),
-                    event_time: happened,
-                    skip_malformed: in_part,
+                    event_time,
+                    skip_malformed,
                     result: read,
                 })
                 .await;
-            answer.recv().await.map_err(|_| "no module".to_owned())??;
+            answer.recv().await.map_err(|_| "the dispatcher has ended".to_owned())??;
         }
         *last = number;
     }
--- a/crates/router/src/frontends.rs
+++ b/crates/router/src/frontends.rs
@@ -1,3 +1,3 @@
-//! One client protocol each.
+//! Client protocols, one module each.
 
 pub mod rpc;
--- a/crates/router/src/frontends/rpc/codec.rs
+++ b/crates/router/src/frontends/rpc/codec.rs
@@ -1,4 +1,4 @@
-//! MessagePack-RPC: where a message ends, how its parts are read, and how answers are written.
+//! MessagePack-RPC: finds the end of a message, reads its parts and writes answers.
 
 use std::io;
 
@@ -12,7 +12,7 @@
 pub const RESPONSE: u32 = 1;
 pub const NOTIFICATION: u32 = 2;
 
-/// What a message is not: whole, of this protocol.
+/// Error for bytes that are not a complete, valid message of this protocol.
 #[derive(Debug)]
 pub struct Malformed;
 
@@ -30,48 +30,49 @@
 
 pub type Result<T> = std::result::Result<T, Malformed>;
 
-/// Finds where a message ends, over as many pieces as it comes in.
+/// Finds the end of a message across the pieces in which it arrives.
 pub struct MessageScanner {
-    /// Values still to begin, and bytes of the last one still to pass over.
-    values: u64,
-    bytes: u64,
+    /// Number of values that have not begun, and bytes left of the current one.
+    pending_values: u64,
+    pending_bytes: u64,
 }
 
 impl Default for MessageScanner {
     fn default() -> Self {
-        Self { values: 1, bytes: 0 }
+        Self { pending_values: 1, pending_bytes: 0 }
     }
 }
 
 impl MessageScanner {
     pub fn is_done(&self) -> bool {
-        self.values == 0 && self.bytes == 0
+        self.pending_values == 0 && self.pending_bytes == 0
     }
 
-    /// The least number of bytes that are still to come, as each value has one.
+    /// Minimum number of bytes still to come: each value takes at least one.
     pub fn min_remaining(&self) -> u64 {
-        self.bytes.saturating_add(self.values)
+        self.pending_bytes.saturating_add(self.pending_values)
     }
 
-    /// Passes over what of the message stands in `piece`, and returns how many bytes that is: all up to its
-    /// end, or up to a head of a value that is not there whole.
+    /// Scans the part of `piece` that belongs to the message and returns its length. The scan stops at the
+    /// end of the message, or at the head of a value that is not complete yet.
     pub fn advance(&mut self, piece: &[u8]) -> Result<usize> {
-        let mut at = 0;
+        let mut offset = 0;
         loop {
-            let passed = self.bytes.min((piece.len() - at) as u64);
-            (at, self.bytes) = (at + passed as usize, self.bytes - passed);
-            if self.values == 0 || self.bytes > 0 {
-                return Ok(at);
+            let skipped = self.pending_bytes.min((piece.len() - offset) as u64);
+            (offset, self.pending_bytes) = (offset + skipped as usize, self.pending_bytes - skipped);
+            if self.pending_values == 0 || self.pending_bytes > 0 {
+                return Ok(offset);
             }
-            let Some((length, bytes, values)) = head(&piece[at..])? else { return Ok(at) };
-            (at, self.bytes, self.values) = (at + length, bytes, (self.values - 1).saturating_add(values));
+            let Some((length, bytes, values)) = value_head(&piece[offset..])? else { return Ok(offset) };
+            (offset, self.pending_bytes, self.pending_values) =
+                (offset + length, bytes, (self.pending_values - 1).saturating_add(values));
         }
     }
 }
 
-/// The length of the head of a value, and how many bytes and values it says to follow; `None` if it is not
-/// there whole.
-fn head(bytes: &[u8]) -> Result<Option<(usize, u64, u64)>> {
+/// Returns the length of a value's head, and how many bytes and values follow it; `None` if the head is not
+/// complete.
+fn value_head(bytes: &[u8]) -> Result<Option<(usize, u64, u64)>> {
     let Some(&first) = bytes.first() else { return Ok(None) };
     let fixed = |follow: u64| Ok(Some((1, follow, 0)));
     let marker = Marker::from_u8(first);
@@ -95,8 +96,8 @@
         Marker::Str32 | Marker::Bin32 | Marker::Ext32 | Marker::Array32 | Marker::Map32 => 4,
         Marker::Reserved => return Err(Malformed),
     };
-    let Some(digits) = bytes.get(1..1 + width) else { return Ok(None) };
-    let count = digits.iter().fold(0_u64, |sum, digit| sum << 8 | u64::from(*digit));
+    let Some(length_bytes) = bytes.get(1..1 + width) else { return Ok(None) };
+    let count = length_bytes.iter().fold(0_u64, |sum, byte| sum << 8 | u64::from(*byte));
     let (bytes, values) = match marker {
         Marker::Array16 | Marker::Array32 => (0, count),
         Marker::Map16 | Marker::Map32 => (0, 2 * count),
@@ -106,11 +107,13 @@
     Ok(Some((1 + width, bytes, values)))
 }
 
-/// The length of the message that `bytes` start with, once it is there whole; `scan` keeps what was passed
-/// over before, as `scanned` bytes of it.
-pub fn message_length(bytes: &[u8], scan: &mut MessageScanner, scanned: &mut usize) -> Result<Option<usize>> {
-    *scanned += scan.advance(&bytes[*scanned..])?;
-    Ok(scan.is_done().then_some(*scanned))
+/// Returns the length of the message that `bytes` start with, once it is complete. `scanner` holds the state
+/// between calls, and `scanned` the number of bytes scanned so far.
+pub fn message_length(
+    bytes: &[u8], scanner: &mut MessageScanner, scanned: &mut usize,
+) -> Result<Option<usize>> {
+    *scanned += scanner.advance(&bytes[*scanned..])?;
+    Ok(scanner.is_done().then_some(*scanned))
 }
 
 pub fn read_array_len(message: &mut &[u8]) -> Result<u32> {
@@ -127,8 +130,8 @@
     Ok(found)
 }
 
-/// A body, which some clients write as text.
-fn body<'a>(message: &mut &'a [u8]) -> Result<&'a [u8]> {
+/// Reads a body, which some clients encode as a string.
+fn read_body<'a>(message: &mut &'a [u8]) -> Result<&'a [u8]> {
     let text = decode::read_str_from_slice::<[u8]>(*message);
     if let Ok((found, rest)) = text {
         *message = rest;
@@ -140,8 +143,11 @@
     Ok(found)
 }
 
-/// The parameters of a request: hears each field of a map of texts, and returns the body behind it.
-pub fn parameters<'a>(message: &mut &'a [u8], mut field: impl FnMut(&'a str, &'a str)) -> Result<&'a [u8]> {
+/// Reads the parameters of a request: calls `field` for each entry of a map of strings, and returns the body
+/// that follows the map.
+pub fn read_parameters<'a>(
+    message: &mut &'a [u8], mut field: impl FnMut(&'a str, &'a str),
+) -> Result<&'a [u8]> {
     if read_array_len(message)? != 2 {
         return Err(Malformed);
     }
@@ -149,11 +155,11 @@
         let name = read_str(message)?;
         field(name, read_str(message)?);
     }
-    body(message)
+    read_body(message)
 }
 
-/// Writes what stands before and behind the pages of an answer.
-pub fn write(number: u32, answer: &Answer, head: &mut Vec<u8>, tail: &mut Vec<u8>) -> io::Result<()> {
+/// Writes the parts of an answer before and after its pages.
+pub fn write_answer(number: u32, answer: &Answer, head: &mut Vec<u8>, tail: &mut Vec<u8>) -> io::Result<()> {
     encode::write_array_len(head, 4)?;
     encode::write_uint(head, RESPONSE.into())?;
     encode::write_uint(head, number.into())?;
--- a/crates/router/src/frontends/rpc/connections.rs
+++ b/crates/router/src/frontends/rpc/connections.rs
@@ -1,4 +1,5 @@
-//! Who is connected, which connection goes where a new one needs its place, and how all go when the router ends.
+//! The open client connections: which one is closed when a new one needs its descriptor, and how all are
+//! closed when the router stops.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,55 +12,57 @@
 use crate::clock::{Clock, sleep};
 use crate::sockets::{PendingInput, Socket};
 
-/// How long a request that is under way may take to come: from the start of a connection that comes as the router ends, or
-/// from its last bytes.
-const GREETING: Span = Span::from_micros(100_000);
+/// How long a request that is on its way may take to arrive, counted from the accept of a connection that
+/// comes in while the router stops, or from the last bytes of the request.
+const MAX_ARRIVAL_DELAY: Span = Span::from_micros(100_000);
 
-/// The connections that are taken in; each is emptied from it as it ends.
+/// The accepted connections; each is removed as it ends.
 #[derive(Clone, Default)]
 pub struct Connections(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
     all: RefCell<BTreeMap<u64, Rc<Client>>>,
-    /// Whether each goes as soon as nothing is owed to it.
-    ending: Rc<Cell<bool>>,
+    /// Whether each connection is closed as soon as no answer is owed to it.
+    closing: Rc<Cell<bool>>,
 }
 
-/// One connection, as far as the choice of the one to close goes.
+/// The state of a connection that decides whether it can be closed.
 pub struct Client {
-    /// The connection belongs to its actor alone.
-    pub link: Weak<Socket>,
-    came: Moment,
-    /// Since when nothing passed on it.
-    pub quiet_since: Cell<Moment>,
-    /// How many of its requests are open.
-    pub open: Cell<usize>,
-    /// Whether bytes of it were read that are not worked off.
-    pub midway: Cell<bool>,
-    told_to_leave: Cell<bool>,
-    ending: Rc<Cell<bool>>,
-    leave: Event,
+    /// Weak, because the connection belongs to its actor alone.
+    pub socket: Weak<Socket>,
+    accepted: Moment,
+    /// When data last passed on it.
+    pub last_activity: Cell<Moment>,
+    /// Number of its requests that are open.
+    pub open_requests: Cell<usize>,
+    /// Whether bytes were read from it that are not processed yet.
+    pub has_unprocessed_bytes: Cell<bool>,
+    asked_to_close: Cell<bool>,
+    closing: Rc<Cell<bool>>,
+    close_event: Event,
 }
 
 impl Client {
-    /// Whether it can be closed now: a request that waits in the socket would be lost, as only one that crosses the close
-    /// is sent again, and so would one that is coming in. To be looked at right before the close, with nothing between.
-    pub fn may_go(&self, now: Moment) -> bool {
-        let unread = |link: Rc<Socket>| matches!(link.peek(), PendingInput::Bytes);
-        let coming = self.midway.get() && now.since(self.quiet_since.get()) < GREETING;
-        self.open.get() == 0 && !coming && !self.link.upgrade().is_some_and(unread)
+    /// Whether the connection can be closed now. A request that waits in the socket would be lost, because
+    /// clients send only those requests again that cross the close; so would a request that is just arriving.
+    /// Callers check this right before the close, with no await in between.
+    pub fn can_close(&self, now: Moment) -> bool {
+        let unread = |socket: Rc<Socket>| matches!(socket.peek(), PendingInput::Bytes);
+        let is_arriving =
+            self.has_unprocessed_bytes.get() && now.since(self.last_activity.get()) < MAX_ARRIVAL_DELAY;
+        self.open_requests.get() == 0 && !is_arriving && !self.socket.upgrade().is_some_and(unread)
     }
 
-    /// Something that kept it from going at the router's end may be over.
-    pub fn settled(&self) {
-        if self.ending.get() && self.open.get() == 0 {
-            self.leave.notify(usize::MAX);
+    /// Notifies the connection's actor while the router stops, once no request of the connection is open.
+    pub fn recheck_close(&self) {
+        if self.closing.get() && self.open_requests.get() == 0 {
+            self.close_event.notify(usize::MAX);
         }
     }
 }
 
-/// A peer's place in the list.
+/// A connection's entry in the list; it is removed on drop.
 pub struct Registration {
     pub peer: Rc<Client>,
     connections: Connections,
@@ -67,18 +70,18 @@
 }
 
 impl Registration {
-    /// Comes when it is to go and may; to be polled behind the reading.
-    pub async fn over(&self, clock: Clock) {
+    /// Completes when the connection is to be closed and can be. It has to be polled after the reader.
+    pub async fn wait_for_close(&self, clock: Clock) {
         loop {
-            let changed = self.peer.leave.listen();
-            let ending = self.peer.ending.get();
-            let left = GREETING.saturating_sub(clock.now().since(self.peer.came));
-            let to_go = self.peer.told_to_leave.get() || (ending && left == Span::ZERO);
-            if to_go && self.peer.may_go(clock.now()) {
+            let changed = self.peer.close_event.listen();
+            let closing = self.peer.closing.get();
+            let left = MAX_ARRIVAL_DELAY.saturating_sub(clock.now().since(self.peer.accepted));
+            let close_wanted = self.peer.asked_to_close.get() || (closing && left == Span::ZERO);
+            if close_wanted && self.peer.can_close(clock.now()) {
                 return;
             }
-            self.peer.told_to_leave.set(false);
-            if ending && left > Span::ZERO { changed.or(sleep(left)).await } else { changed.await }
+            self.peer.asked_to_close.set(false);
+            if closing && left > Span::ZERO { changed.or(sleep(left)).await } else { changed.await }
         }
     }
 }
@@ -90,16 +93,16 @@
 }
 
 impl Connections {
-    pub fn enter(&self, client: u64, link: &Rc<Socket>, now: Moment) -> Registration {
+    pub fn register(&self, client: u64, socket: &Rc<Socket>, now: Moment) -> Registration {
         let peer = Rc::new(Client {
-            link: Rc::downgrade(link),
-            came: now,
-            quiet_since: Cell::new(now),
-            open: Cell::new(0),
-            midway: Cell::new(false),
-            told_to_leave: Cell::new(false),
-            ending: self.0.ending.clone(),
-            leave: Event::new(),
+            socket: Rc::downgrade(socket),
+            accepted: now,
+            last_activity: Cell::new(now),
+            open_requests: Cell::new(0),
+            has_unprocessed_bytes: Cell::new(false),
+            asked_to_close: Cell::new(false),
+            closing: self.0.closing.clone(),
+            close_event: Event::new(),
         });
         self.0.all.borrow_mut().insert(client, peer.clone());
         Registration { peer, connections: self.clone(), client }
@@ -109,21 +112,22 @@
         self.0.all.borrow().is_empty()
     }
 
-    /// From now on each connection goes as soon as nothing is owed to it.
+    /// Starts closing each connection as soon as no answer is owed to it.
     pub fn close_when_idle(&self) {
-        self.0.ending.set(true);
-        self.0.all.borrow().values().for_each(|peer| _ = peer.leave.notify(usize::MAX));
+        self.0.closing.set(true);
+        self.0.all.borrow().values().for_each(|peer| _ = peer.close_event.notify(usize::MAX));
     }
 
-    /// Threat: connections held for good, or opened by hundreds, would keep usual clients out. The longest
-    /// quiet one that may go does, which a client opens anew at worst.
-    pub fn send_off_one(&self, now: Moment) {
+    /// Asks the connection that has been idle longest, of those that can be closed, to close. Threat:
+    /// connections that are held forever, or opened by the hundreds, would keep ordinary clients out. Cost: a
+    /// client may have to open a new connection.
+    pub fn close_idlest(&self, now: Moment) {
         let connections = self.0.all.borrow();
-        let mut quiet: Vec<_> = connections.values().filter(|peer| !peer.told_to_leave.get()).collect();
-        quiet.sort_by_key(|peer| peer.quiet_since.get());
-        if let Some(peer) = quiet.into_iter().find(|peer| peer.may_go(now)) {
-            peer.told_to_leave.set(true);
-            peer.leave.notify(usize::MAX);
+        let mut candidates: Vec<_> = connections.values().filter(|peer| !peer.asked_to_close.get()).collect();
+        candidates.sort_by_key(|peer| peer.last_activity.get());
+        if let Some(peer) = candidates.into_iter().find(|peer| peer.can_close(now)) {
+            peer.asked_to_close.set(true);
+            peer.close_event.notify(usize::MAX);
         }
     }
 }
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -1,4 +1,5 @@
-//! An actor a client connection: it reads requests, and writes answers in the order in which they come.
+//! The actor of a client connection: it reads requests and writes answers in the order in which these become
+//! ready.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,45 +27,47 @@
 use crate::sockets::{PendingInput, Socket, WriteError, read_once, with_timeout, write_at_min_rate};
 use crate::tasks::Tasks;
 
-/// The most open requests of a connection, and some whose withdrawal is on its way.
-const OPEN: usize = 32 + 8;
-/// Answers of the door itself, pongs and refusals, that a client has not taken; it is read no further
-/// meanwhile.
-const ASIDE: usize = 32;
-/// No message holds more. What is longer than `READ_BYTES` is read into room that all clients share.
-const MESSAGE_BYTES: usize = 128 * 1024;
-const READ_BYTES: usize = 2 * 1024;
-/// A connection's first message, and each one that has begun, is to be there whole within this.
-const MESSAGE_WITHIN: Span = Span::from_micros(1_500_000);
-/// Clients close idle connections after 4 s.
-const IDLE: Span = Span::from_micros(5_000_000);
-/// For each ping and each request that the door turned away, before the client is read again, once it had `BURST` of
-/// them: what hundreds of requests sent at once are followed by, as a cancel or the close, is to be read soon.
-const PACE: Span = Span::from_micros(2_000);
-const BURST: f64 = 512.0;
-/// How often a client that is not read is looked at for a close.
-const GLANCE: Span = Span::from_micros(50_000);
-/// How long a connection that the router ends waits for the client's end. What was written longer ago than that has
-/// come, as far as anybody can tell.
-const PARTING: Span = Span::from_micros(100_000);
-/// What a job takes beside its statement, in all tables and tasks.
-const JOB_BYTES: usize = 8 * 1024;
+/// Maximum number of open requests of a connection: 32, and 8 more whose cancellation is on its way.
+const MAX_OPEN_REQUESTS: usize = 32 + 8;
+/// Maximum number of answers that the frontend gives by itself (pongs and refusals) and a client has not
+/// taken; beyond it, the client is not read.
+const MAX_IMMEDIATE_ANSWERS: usize = 32;
+/// Maximum length of a message. A message longer than `READ_BUFFER_BYTES` is read into memory that all
+/// clients share.
+const MAX_MESSAGE_BYTES: usize = 128 * 1024;
+const READ_BUFFER_BYTES: usize = 2 * 1024;
+/// Time in which a connection's first message, and each message that has begun, must arrive completely.
+const MESSAGE_TIMEOUT: Span = Span::from_micros(1_500_000);
+/// Time without traffic after which an idle connection is closed. Clients close theirs after 4 s.
+const IDLE_TIMEOUT: Span = Span::from_micros(5_000_000);
+/// Delay before a client is read again, for each ping and each refused request beyond `REFUSAL_BURST` of
+/// them. The burst is large because whatever follows hundreds of requests that were sent at once, such as a
+/// cancellation or the close, has to be read soon.
+const REFUSAL_DELAY: Span = Span::from_micros(2_000);
+const REFUSAL_BURST: f64 = 512.0;
+/// Interval at which a client that is not being read is checked for a close.
+const CLOSE_CHECK_INTERVAL: Span = Span::from_micros(50_000);
+/// How long a connection that the router closes waits for the client's close. Data written longer ago than
+/// this is taken to have arrived, as far as that can be known.
+const CLOSE_TIMEOUT: Span = Span::from_micros(100_000);
+/// Memory charged for a job in addition to its statement, for its entries in all tables and its tasks.
+const JOB_OVERHEAD_BYTES: usize = 8 * 1024;
 
-/// What all connections of clients are given alike.
+/// What all client connections share.
 #[derive(Clone)]
 pub struct FrontendContext {
     pub clock: Clock,
     pub tasks: Tasks,
     pub events: Sender<Event>,
     pub request_limits: Rc<RequestLimits>,
-    /// For statements with their jobs, and for messages on their way in.
+    /// Memory for statements with their jobs, and for messages that are being received.
     pub job_memory: MemoryBudget,
     pub message_memory: MemoryBudget,
-    /// What a client is told that is turned away here.
+    /// The retry delay sent to a client whose request is refused here.
     pub come_back: Option<Span>,
-    /// How many answers are owed on all connections.
+    /// Number of answers owed on all connections.
     pub answers_owed: Rc<Cell<usize>>,
-    /// The slowest that a client may send a message, and take its answers.
+    /// Minimum rates at which a client must send a message, and receive its answers.
     pub min_send_rate: MinRate,
     pub min_receive_rate: MinRate,
     /// Bytes that a connection may read or write before the others' turn.
@@ -73,204 +76,212 @@
     pub guards: Guards,
 }
 
-/// A place among the open requests of a connection, and one of the answers that the router owes; kept until
-/// the answer is written.
-struct Owed {
-    _place: SemaphoreGuardArc,
-    owing: Rc<Cell<usize>>,
+/// One of the connection's open requests, and one of the answers that the router owes; held until the answer
+/// is written.
+struct OwedAnswer {
+    _permit: SemaphoreGuardArc,
+    answers_owed: Rc<Cell<usize>>,
     peer: Rc<Client>,
 }
 
-impl Drop for Owed {
+impl Drop for OwedAnswer {
     fn drop(&mut self) {
-        self.owing.set(self.owing.get() - 1);
-        self.peer.open.set(self.peer.open.get() - 1);
-        self.peer.settled();
+        self.answers_owed.set(self.answers_owed.get() - 1);
+        self.peer.open_requests.set(self.peer.open_requests.get() - 1);
+        self.peer.recheck_close();
     }
 }
 
-/// An answer on its way to a client. Boxed, as each connection has a place for every answer that it may be owed at once,
-/// and most are owed none.
+/// An answer on its way to a client. Boxed, because each connection's outbox has a slot for every answer that
+/// may be owed at once, and most connections are owed none.
 struct Outgoing {
     number: u32,
     answer: Answer,
-    _owed: Owed,
+    _owed: OwedAnswer,
 }
 
-/// The jobs of a connection that await an answer, by their numbers; emptied by the answers.
-type Asked = Rc<RefCell<BTreeMap<u32, Rc<Statement>>>>;
+/// The jobs of a connection that await an answer, by request number; an answer removes its entry.
+type OpenJobs = Rc<RefCell<BTreeMap<u32, Rc<Statement>>>>;
 
-/// A job's place among them.
-struct Awaited {
-    asked: Asked,
+/// A job's entry among them, removed on drop.
+struct OpenJob {
+    open_jobs: OpenJobs,
     number: u32,
 }
 
-impl Drop for Awaited {
+impl Drop for OpenJob {
     fn drop(&mut self) {
-        self.asked.borrow_mut().remove(&self.number);
+        self.open_jobs.borrow_mut().remove(&self.number);
     }
 }
 
-/// Serves one connection, which came after such a moment, until either side ends it or its place is needed, then withdraws its
-/// jobs.
+/// Serves one connection, which arrived at `arrived` or later, until either side closes it or its descriptor
+/// is needed; then withdraws its jobs.
 pub async fn serve(
-    link: Rc<Socket>, client: u64, registration: Registration, came: Moment, context: FrontendContext,
+    socket: Rc<Socket>, client: u64, registration: Registration, arrived: Moment, context: FrontendContext,
 ) {
-    let gone = Rc::new(Cell::new(false));
-    let leave = Leave { client, gone: gone.clone(), module: context.events.clone(), tasks: context.tasks };
-    let (outbox, answers) = async_channel::bounded(OPEN + ASIDE);
-    let (places, aside) = (Arc::new(Semaphore::new(OPEN)), Arc::new(Semaphore::new(ASIDE)));
+    let is_gone = Rc::new(Cell::new(false));
+    let gone_notifier = ClientGoneNotifier {
+        client,
+        is_gone: is_gone.clone(),
+        events: context.events.clone(),
+        tasks: context.tasks,
+    };
+    let (outbox, answers) = async_channel::bounded(MAX_OPEN_REQUESTS + MAX_IMMEDIATE_ANSWERS);
+    let (request_permits, immediate_permits) =
+        (Arc::new(Semaphore::new(MAX_OPEN_REQUESTS)), Arc::new(Semaphore::new(MAX_IMMEDIATE_ANSWERS)));
     let (peer, clock, guards) = (registration.peer.clone(), context.clock, context.guards.clone());
     let address =
-        link.stream.get_ref().peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
+        socket.stream.get_ref().peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
     let holder = Holder { connection: client, address };
-    let (takes, turn) = (context.min_receive_rate, DeficitCounter::new(context.quantum_bytes));
-    let (own, asked) = (peer.clone(), Asked::default());
+    let (min_receive_rate, turn) = (context.min_receive_rate, DeficitCounter::new(context.quantum_bytes));
+    let (reader_peer, open_jobs) = (peer.clone(), OpenJobs::default());
     let reader = Reader {
         client,
         holder,
-        places,
-        aside,
+        request_permits,
+        immediate_permits,
         outbox,
-        peer: own,
-        last: Cell::new(0),
-        arrivals: ArrivalTimes::new(came, clock, context.loop_ticks.clone()),
-        credit: Cell::new((BURST, clock.now())),
-        asked,
-        gone,
+        peer: reader_peer,
+        last_number: Cell::new(0),
+        arrivals: ArrivalTimes::new(arrived, clock, context.loop_ticks.clone()),
+        immediate_credit: Cell::new((REFUSAL_BURST, clock.now())),
+        open_jobs,
+        is_gone,
         context,
     };
-    // What was answered before the reading ended is still written, but whoever ended it waits for nothing more.
+    // Answers in the outbox are still written after reading has ended; further ones are awaited only where
+    // the end leaves answers owed.
     let read = async {
-        let end = reader.read(&link).await.err().unwrap_or(End::Left);
-        let event = if matches!(end, End::TooSlow(_)) { "client_too_slow" } else { "client_ended" };
+        let end = reader.read(&socket).await.err().unwrap_or(ReadEnd::Left);
+        let event = if matches!(end, ReadEnd::TooSlow(_)) { "client_too_slow" } else { "client_ended" };
         log::debug!(event, client, why:? = end; "client {client}: {end}");
         if end.leaves_answers_owed() {
-            reader.answered(&link).await;
+            reader.wait_until_answered(&socket).await;
         }
-        drop(leave);
+        drop(gone_notifier);
         reader.outbox.close();
         future::pending().await
     };
     let written = async {
-        match write(&link, answers, &peer, clock, takes, turn).await {
+        match write_answers(&socket, answers, &peer, clock, min_receive_rate, turn).await {
             Ok(()) => {}
             Err(WriteError::TooSlow(figures)) => {
-                log::debug!(event = "client_too_slow", client; "client {client}: took {figures}");
+                log::debug!(event = "client_too_slow", client; "client {client}: received too slowly: {figures}");
             }
             Err(WriteError::Broken(error)) => {
                 log::debug!(event = "client_ended", client; "client {client}: {error}");
             }
         }
     };
-    let sent_off = async {
-        registration.over(clock).await;
-        if peer.open.get() > 0 {
+    let closed = async {
+        registration.wait_for_close(clock).await;
+        if peer.open_requests.get() > 0 {
             guards.record_violation(Step::Close, Refusal::AnswerOwed, &format!("of client {client}"));
         }
     };
-    read.or(written).or(sent_off).await;
-    // With nothing unread and no answer under way, a plain close says the same at once, for whoever needs the place.
-    let rested = clock.now().since(peer.quiet_since.get()) >= PARTING;
-    if !rested || matches!(link.peek(), PendingInput::Bytes) {
-        link.close_gracefully(PARTING).await;
+    read.or(written).or(closed).await;
+    // With nothing unread and no answer under way, a plain close has the same effect at once, which frees the
+    // descriptor sooner.
+    let is_quiet = clock.now().since(peer.last_activity.get()) >= CLOSE_TIMEOUT;
+    if !is_quiet || matches!(socket.peek(), PendingInput::Bytes) {
+        socket.close_gracefully(CLOSE_TIMEOUT).await;
     }
 }
 
-/// Why a client is read no further.
+/// Why reading from a client ended.
 #[derive(Debug)]
-enum End {
-    /// It closed its side.
+enum ReadEnd {
+    /// The client closed its side.
     Left,
-    /// Its connection broke.
+    /// The connection broke.
     Broken(io::Error),
-    /// What it sent is no message.
+    /// The client sent something that is not a message.
     Malformed,
-    /// Its requests can't be told apart.
+    /// A request number did not rise, so that requests can't be told apart.
     NumberNotNew,
-    /// Its message is longer than any may be.
+    /// A message exceeds the maximum length.
     TooLong,
-    /// Its message comes too slowly, in these figures where there are some.
+    /// A message arrived too slowly; with the measured rate.
     TooSlow(String),
-    /// No room came free for its message in time.
+    /// No memory became free in time for a message.
     NoRoom,
-    /// Nothing passed for long.
+    /// The connection was idle for too long.
     Idle,
 }
 
-impl End {
-    /// Whether the client may still read answers to what it asked before, and tell them apart. Threat: a request that was taken
-    /// and is not answered, as what came behind it made no sense, or never came whole. It may hold a descriptor until
-    /// these are answered.
+impl ReadEnd {
+    /// Whether the client may still read answers to its earlier requests, and tell them apart. Threat: a
+    /// request that was accepted would not be answered because the data after it was malformed or never
+    /// arrived completely. Cost: the connection may hold a descriptor until these requests are answered.
     fn leaves_answers_owed(&self) -> bool {
         matches!(self, Self::Malformed | Self::TooLong | Self::TooSlow(_) | Self::NoRoom)
     }
 }
 
-impl From<Malformed> for End {
+impl From<Malformed> for ReadEnd {
     fn from(_: Malformed) -> Self {
         Self::Malformed
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for ReadEnd {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Left => out.write_str("left"),
-            Self::Broken(error) => write!(out, "broke: {error}"),
-            Self::Malformed => out.write_str("sent what is no message"),
-            Self::NumberNotNew => out.write_str("used a number that is not new"),
-            Self::TooLong => out.write_str("sent a message too long"),
+            Self::Left => out.write_str("closed the connection"),
+            Self::Broken(error) => write!(out, "connection broke: {error}"),
+            Self::Malformed => out.write_str("sent a malformed message"),
+            Self::NumberNotNew => out.write_str("used a request number that did not rise"),
+            Self::TooLong => out.write_str("sent a message that is too long"),
             Self::TooSlow(figures) => write!(out, "sent a message too slowly: {figures}"),
-            Self::NoRoom => out.write_str("sent a message for which there is no room"),
+            Self::NoRoom => out.write_str("sent a message for which no memory became free"),
             Self::Idle => out.write_str("was idle"),
         }
     }
 }
 
-/// Tells the module when a connection ends, however it does.
-struct Leave {
+/// Notifies the dispatcher when a connection ends, however it ends.
+struct ClientGoneNotifier {
     client: u64,
-    gone: Rc<Cell<bool>>,
-    module: Sender<Event>,
+    is_gone: Rc<Cell<bool>>,
+    events: Sender<Event>,
     tasks: Tasks,
 }
 
-impl Drop for Leave {
+impl Drop for ClientGoneNotifier {
     fn drop(&mut self) {
-        self.gone.set(true);
-        let (module, client) = (self.module.clone(), self.client);
+        self.is_gone.set(true);
+        let (events, client) = (self.events.clone(), self.client);
         self.tasks.spawn(async move {
-            let _ = module.send(Event::ClientGone { client }).await;
+            let _ = events.send(Event::ClientGone { client }).await;
         });
     }
 }
 
-async fn write(
-    link: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock, takes: MinRate,
-    mut turn: DeficitCounter,
+async fn write_answers(
+    socket: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock,
+    min_receive_rate: MinRate, mut turn: DeficitCounter,
 ) -> Result<(), WriteError> {
     let (mut head, mut tail) = (Vec::new(), Vec::new());
     while let Ok(outgoing) = answers.recv().await {
         let Outgoing { number, answer, _owed } = *outgoing;
         head.clear();
         tail.clear();
-        codec::write(number, &answer, &mut head, &mut tail).map_err(WriteError::Broken)?;
+        codec::write_answer(number, &answer, &mut head, &mut tail).map_err(WriteError::Broken)?;
         let pages = if let Answer::Served(rows) = &answer { rows.pages.as_slice() } else { &[] };
         let mut parts = Vec::with_capacity(pages.len() + 2);
         parts.push(head.as_slice());
         parts.extend(pages.iter().map(Vec::as_slice));
         parts.push(&tail);
-        write_at_min_rate(&link.stream, &parts, clock, takes).await?;
-        peer.quiet_since.set(clock.now());
-        rest(&mut turn, parts.iter().map(|part| part.len()).sum()).await;
+        write_at_min_rate(&socket.stream, &parts, clock, min_receive_rate).await?;
+        peer.last_activity.set(clock.now());
+        yield_after_turn(&mut turn, parts.iter().map(|part| part.len()).sum()).await;
     }
     Ok(())
 }
 
-/// Lets the others have theirs once a turn is used up.
-async fn rest(turn: &mut DeficitCounter, bytes: usize) {
+/// Yields to the other tasks once a turn is used up.
+async fn yield_after_turn(turn: &mut DeficitCounter, bytes: usize) {
     if turn.spend(bytes) {
         loop {
             future::yield_now().await;
@@ -284,146 +295,151 @@
 struct Reader {
     client: u64,
     holder: Holder,
-    places: Arc<Semaphore>,
-    aside: Arc<Semaphore>,
+    request_permits: Arc<Semaphore>,
+    immediate_permits: Arc<Semaphore>,
     outbox: Sender<Box<Outgoing>>,
     peer: Rc<Client>,
-    /// The number of the last request: they rise, so that no two answers can be mistaken.
-    last: Cell<u32>,
+    /// Number of the last request. Numbers must rise, so that no two answers can be confused.
+    last_number: Cell<u32>,
     arrivals: ArrivalTimes,
-    /// How many answers of the door are left at once, and since when that holds.
-    credit: Cell<(f64, Moment)>,
-    asked: Asked,
-    gone: Rc<Cell<bool>>,
+    /// How many immediate answers may be given before reading is delayed, and when that was computed.
+    immediate_credit: Cell<(f64, Moment)>,
+    open_jobs: OpenJobs,
+    is_gone: Rc<Cell<bool>>,
     context: FrontendContext,
 }
 
 impl Reader {
-    /// Waits until all that was asked for is answered, or the client is gone.
-    async fn answered(&self, link: &Socket) {
-        while self.peer.open.get() > 0 && !link.is_closed_by_peer() {
-            sleep(GLANCE).await;
+    /// Waits until all requests are answered, or the client has closed its side.
+    async fn wait_until_answered(&self, socket: &Socket) {
+        while self.peer.open_requests.get() > 0 && !socket.is_closed_by_peer() {
+            sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    async fn read(&self, link: &Socket) -> Result<(), End> {
-        let (mut buffer, mut filled) = (vec![0; READ_BYTES], 0);
-        let mut room: Option<MemoryPermit> = None;
-        let (mut scan, mut scanned) = (MessageScanner::default(), 0);
-        // Until when the message under way is to be whole; the first is under way from the start.
-        let mut due = Some(self.context.clock.now() + MESSAGE_WITHIN);
-        let (mut watch, mut turn) = (None, DeficitCounter::new(self.context.quantum_bytes));
+    async fn read(&self, socket: &Socket) -> Result<(), ReadEnd> {
+        let (mut buffer, mut filled) = (vec![0; READ_BUFFER_BYTES], 0);
+        let mut message_memory: Option<MemoryPermit> = None;
+        let (mut scanner, mut scanned) = (MessageScanner::default(), 0);
+        // Deadline for the current message to be complete; the first message counts as begun from the start.
+        let mut deadline = Some(self.context.clock.now() + MESSAGE_TIMEOUT);
+        let (mut monitor, mut turn) = (None, DeficitCounter::new(self.context.quantum_bytes));
         loop {
-            let (mut start, mut turned_away) = (0, 0);
-            while let Some(length) = codec::message_length(&buffer[start..filled], &mut scan, &mut scanned)? {
-                turned_away += self.take(&buffer[start..start + length]).await?;
+            let (mut start, mut refused) = (0, 0);
+            while let Some(length) =
+                codec::message_length(&buffer[start..filled], &mut scanner, &mut scanned)?
+            {
+                refused += self.process(&buffer[start..start + length]).await?;
                 start += length;
-                (scan, scanned, due, watch) = (MessageScanner::default(), 0, None, None);
+                (scanner, scanned, deadline, monitor) = (MessageScanner::default(), 0, None, None);
             }
-            if scan.min_remaining().saturating_add(scanned as u64) > MESSAGE_BYTES as u64 {
-                self.refuse(&buffer[start..filled]).await?;
-                return Err(End::TooLong);
+            if scanner.min_remaining().saturating_add(scanned as u64) > MAX_MESSAGE_BYTES as u64 {
+                self.refuse_too_long(&buffer[start..filled]).await?;
+                return Err(ReadEnd::TooLong);
             }
             buffer.copy_within(start..filled, 0);
             filled -= start;
             if filled == buffer.len() {
-                // Threat: many clients with long messages. Those that find no room are closed when theirs is
-                // due.
+                // Threat: many clients send long messages at once. Those for which no memory becomes free in
+                // time are closed.
                 let more = with_timeout(
-                    MESSAGE_WITHIN,
+                    MESSAGE_TIMEOUT,
                     self.context.message_memory.acquire(self.holder, filled * 2),
                 )
                 .await;
-                room = Some(more.ok_or(End::NoRoom)?);
+                message_memory = Some(more.ok_or(ReadEnd::NoRoom)?);
                 buffer.resize(filled * 2, 0);
-            } else if filled == 0 && room.take().is_some() {
-                buffer = vec![0; READ_BYTES];
+            } else if filled == 0 && message_memory.take().is_some() {
+                buffer = vec![0; READ_BUFFER_BYTES];
             }
-            if filled > 0 && due.is_none() {
-                due = Some(self.context.clock.now() + MESSAGE_WITHIN);
-                watch = Some(RateMonitor::start(self.context.clock.now(), self.context.min_send_rate));
+            if filled > 0 && deadline.is_none() {
+                deadline = Some(self.context.clock.now() + MESSAGE_TIMEOUT);
+                monitor = Some(RateMonitor::start(self.context.clock.now(), self.context.min_send_rate));
             }
-            self.peer.midway.set(filled > 0);
-            self.peer.settled();
-            if !self.pace(link, turned_away).await {
+            self.peer.has_unprocessed_bytes.set(filled > 0);
+            self.peer.recheck_close();
+            if !self.delay_read(socket, refused).await {
                 return Ok(());
             }
-            let until = due.map(|due| watch.map_or(due, |watch: RateMonitor| due.min(watch.deadline())));
-            let count = match self.read_some(link, &mut buffer[filled..], until).await? {
+            let until = deadline.map(|deadline| {
+                monitor.map_or(deadline, |monitor: RateMonitor| deadline.min(monitor.deadline()))
+            });
+            let count = match self.read_some(socket, &mut buffer[filled..], until).await? {
                 Some(Ok(0)) => return Ok(()),
-                Some(count) => count.map_err(End::Broken)?,
-                None => return Err(self.too_slow(watch)),
+                Some(count) => count.map_err(ReadEnd::Broken)?,
+                None => return Err(self.too_slow(monitor)),
             };
-            self.peer.midway.set(true);
+            self.peer.has_unprocessed_bytes.set(true);
             filled += count;
-            if let Some(watch) = &mut watch {
-                watch.record(self.context.clock.now(), count);
+            if let Some(monitor) = &mut monitor {
+                monitor.record(self.context.clock.now(), count);
             }
-            rest(&mut turn, count).await;
-            self.peer.quiet_since.set(self.context.clock.now());
+            yield_after_turn(&mut turn, count).await;
+            self.peer.last_activity.set(self.context.clock.now());
         }
     }
 
-    /// Waits as a client is to that has had so many more answers of the door; whether it is still there.
-    async fn pace(&self, link: &Socket, turned_away: usize) -> bool {
-        let (left, since) = self.credit.get();
+    /// Delays reading after that many more immediate answers, and returns whether the client is still
+    /// connected.
+    async fn delay_read(&self, socket: &Socket, refused: usize) -> bool {
+        let (credit, since) = self.immediate_credit.get();
         let now = self.context.clock.now();
-        let earned = now.since(since).secs() / PACE.secs();
-        let left = (left + earned).min(BURST) - turned_away as f64;
-        self.credit.set((left, now));
-        let until = now + PACE.mul_f64(-left);
-        while turned_away > 0 && self.context.clock.now() < until {
-            sleep(until.since(self.context.clock.now()).min(GLANCE)).await;
-            if link.is_closed_by_peer() {
+        let earned = now.since(since).secs() / REFUSAL_DELAY.secs();
+        let credit = (credit + earned).min(REFUSAL_BURST) - refused as f64;
+        self.immediate_credit.set((credit, now));
+        let until = now + REFUSAL_DELAY.mul_f64(-credit);
+        while refused > 0 && self.context.clock.now() < until {
+            sleep(until.since(self.context.clock.now()).min(CLOSE_CHECK_INTERVAL)).await;
+            if socket.is_closed_by_peer() {
                 return false;
             }
         }
         true
     }
 
-    /// The fault of a client that was at a message, with the figures of its slowness.
-    fn too_slow(&self, watch: Option<RateMonitor>) -> End {
-        let (bytes, rate) = watch.map_or((0, 0.0), |watch| watch.stats(self.context.clock.now()));
-        End::TooSlow(format!("{bytes} bytes at {rate:.0} a second"))
+    /// The end of a client that was too slow within a message, with the measured rate.
+    fn too_slow(&self, monitor: Option<RateMonitor>) -> ReadEnd {
+        let (bytes, rate) = monitor.map_or((0, 0.0), |monitor| monitor.stats(self.context.clock.now()));
+        ReadEnd::TooSlow(format!("{bytes} bytes at {rate:.0} a second"))
     }
 
-    /// Threat: clients that vanish, idle, or stall in a message would keep their descriptors. None that
-    /// awaits an answer is closed between messages.
-    /// Nothing where it is too slow at a message.
+    /// Reads the next bytes; `None` if the message under way is late. Threat: clients that vanish, stay idle
+    /// or stall within a message would hold their descriptors. A client that awaits an answer is not closed
+    /// between messages.
     async fn read_some(
-        &self, link: &Socket, buffer: &mut [u8], due: Option<Moment>,
-    ) -> Result<Option<io::Result<usize>>, End> {
+        &self, socket: &Socket, buffer: &mut [u8], deadline: Option<Moment>,
+    ) -> Result<Option<io::Result<usize>>, ReadEnd> {
         let clock = self.context.clock;
         loop {
-            let until = due.unwrap_or_else(|| self.peer.quiet_since.get() + IDLE);
+            let until = deadline.unwrap_or_else(|| self.peer.last_activity.get() + IDLE_TIMEOUT);
             let left = until.since(clock.now());
-            // What stands there unread, as reads are interrupted, came in time.
-            let has_come = matches!(link.peek(), PendingInput::Bytes);
-            if left == Span::ZERO && self.peer.midway.get() && !has_come {
+            // Bytes that are still unread because reads were interrupted arrived in time.
+            let has_bytes = matches!(socket.peek(), PendingInput::Bytes);
+            if left == Span::ZERO && self.peer.has_unprocessed_bytes.get() && !has_bytes {
                 return Ok(None);
             }
-            if left == Span::ZERO && self.peer.may_go(clock.now()) {
-                return Err(End::Idle);
+            if left == Span::ZERO && self.peer.can_close(clock.now()) {
+                return Err(ReadEnd::Idle);
             }
-            let left = if left == Span::ZERO { IDLE } else { left };
-            let taken = self.arrivals.receive(async || read_once(&link.stream, buffer).await);
+            let left = if left == Span::ZERO { IDLE_TIMEOUT } else { left };
+            let taken = self.arrivals.receive(async || read_once(&socket.stream, buffer).await);
             if let Some(count) = with_timeout(left, taken).await {
                 return Ok(Some(count));
             }
         }
     }
 
-    /// Answers a request that is too long, where its start tells the number.
-    async fn refuse(&self, mut message: &[u8]) -> codec::Result<()> {
+    /// Answers a request that is too long, if its start contains the request's number.
+    async fn refuse_too_long(&self, mut message: &[u8]) -> codec::Result<()> {
         let message = &mut message;
         if (codec::read_array_len(message)?, codec::read_u32(message)?) == (4, codec::REQUEST) {
-            self.aside(codec::read_u32(message)?).await.send(Answer::Failed(MALFORMED));
+            self.immediate_responder(codec::read_u32(message)?).await.send(Answer::Failed(MALFORMED));
         }
         Ok(())
     }
 
-    /// Takes in one whole message, and returns how many it answered by itself.
-    async fn take(&self, mut message: &[u8]) -> Result<usize, End> {
+    /// Processes one complete message, and returns how many answers were given at once.
+    async fn process(&self, mut message: &[u8]) -> Result<usize, ReadEnd> {
         let (arrived, message) = (self.arrivals.request_start(), &mut message);
         let parts = codec::read_array_len(message)?;
         match (codec::read_u32(message)?, parts) {
@@ -431,93 +447,98 @@
                 let number = codec::read_u32(message)?;
                 let method = codec::read_str(message);
                 if let Ok("ping") = method {
-                    let _ =
-                        self.context.events.send(Event::Ping { responder: self.aside(number).await }).await;
+                    let _ = self
+                        .context
+                        .events
+                        .send(Event::Ping { responder: self.immediate_responder(number).await })
+                        .await;
                     return Ok(1);
                 }
-                if number <= self.last.replace(number) {
-                    return Err(End::NumberNotNew);
+                if number <= self.last_number.replace(number) {
+                    return Err(ReadEnd::NumberNotNew);
                 }
-                let turned_away = match method {
-                    Ok(method) => self.request(arrived, number, method, message).await.err(),
+                let refused = match method {
+                    Ok(method) => self.accept_request(arrived, number, method, message).await.err(),
                     Err(Malformed) => Some(Answer::Failed(MALFORMED)),
                 };
-                let Some(answer) = turned_away else { return Ok(0) };
-                self.aside(number).await.send(answer);
+                let Some(answer) = refused else { return Ok(0) };
+                self.immediate_responder(number).await.send(answer);
                 Ok(1)
             }
             (codec::NOTIFICATION, 3) => {
                 if codec::read_str(message)? == "abort" && codec::read_array_len(message)? > 0 {
                     let number = codec::read_u32(message)?;
-                    if let Some(statement) = self.asked.borrow().get(&number) {
+                    if let Some(statement) = self.open_jobs.borrow().get(&number) {
                         statement.client.withdraw();
                     }
                     let _ = self.context.events.send(Event::Withdrawn { client: self.client, number }).await;
                 }
                 Ok(0)
             }
-            _ => Err(End::Malformed),
+            _ => Err(ReadEnd::Malformed),
         }
     }
 
-    /// The right to an answer that the door gives at once. Waits where the client takes none: it is held
-    /// back.
-    async fn aside(&self, number: u32) -> Responder {
-        let place = self.aside.acquire_arc().await;
-        self.reply(number, place, None)
+    /// Returns the responder for an answer that is given at once. It waits while the client takes no answers,
+    /// which slows the client down.
+    async fn immediate_responder(&self, number: u32) -> Responder {
+        let permit = self.immediate_permits.acquire_arc().await;
+        self.responder(number, permit, None)
     }
 
-    fn reply(&self, number: u32, place: SemaphoreGuardArc, awaited: Option<Awaited>) -> Responder {
-        let (peer, owing) = (self.peer.clone(), self.context.answers_owed.clone());
-        owing.set(owing.get() + 1);
-        peer.open.set(peer.open.get() + 1);
-        let (owed, outbox) = (Owed { _place: place, owing, peer }, self.outbox.clone());
-        // The outbox has a place for each reply; where the connection is gone, nobody is answered.
+    fn responder(&self, number: u32, permit: SemaphoreGuardArc, open_job: Option<OpenJob>) -> Responder {
+        let (peer, answers_owed) = (self.peer.clone(), self.context.answers_owed.clone());
+        answers_owed.set(answers_owed.get() + 1);
+        peer.open_requests.set(peer.open_requests.get() + 1);
+        let (owed, outbox) = (OwedAnswer { _permit: permit, answers_owed, peer }, self.outbox.clone());
+        // The outbox has a slot for each answer. If the connection is gone, the answer is dropped.
         Responder::new(number, move |answer| {
-            drop(awaited);
+            drop(open_job);
             let _ = outbox.try_send(Box::new(Outgoing { number, answer, _owed: owed }));
         })
     }
 
-    /// A request with a number is answered in any case, if only with an error or a refusal.
-    async fn request(
+    /// Accepts a request, or returns the answer that refuses it. Every request with a number is answered,
+    /// even if only with an error or a refusal.
+    async fn accept_request(
         &self, arrived: Moment, number: u32, method: &str, message: &mut &[u8],
     ) -> Result<(), Answer> {
         let malformed = |_: Malformed| Answer::Failed(MALFORMED);
-        let asked = self.context.request_limits.request(method, message).map_err(malformed)?;
+        let request = self.context.request_limits.request(method, message).map_err(malformed)?;
         let full = || Answer::Overloaded(self.context.come_back);
-        let place = self.places.try_acquire_arc().ok_or_else(full)?;
+        let permit = self.request_permits.try_acquire_arc().ok_or_else(full)?;
         let held = self
             .context
             .job_memory
-            .try_acquire(self.holder, asked.text.len() + JOB_BYTES)
+            .try_acquire(self.holder, request.text.len() + JOB_OVERHEAD_BYTES)
             .ok_or_else(full)?;
         // The connection itself belongs to its actor alone.
-        let (link, gone) = (self.peer.link.clone(), self.gone.clone());
-        let connected = move || !gone.get() && link.upgrade().is_some_and(|link| !link.is_closed_by_peer());
+        let (socket, is_gone) = (self.peer.socket.clone(), self.is_gone.clone());
+        let connected =
+            move || !is_gone.get() && socket.upgrade().is_some_and(|socket| !socket.is_closed_by_peer());
         let statement = Rc::new(Statement {
             holder: self.holder,
-            id: asked.id.into(),
+            id: request.id.into(),
             class: method.into(),
-            order_key: asked.key.map(str::to_owned),
-            idempotency_key: asked.once.map(str::to_owned),
-            text: asked.text.into(),
+            order_key: request.order_key.map(str::to_owned),
+            idempotency_key: request.idempotency_key.map(str::to_owned),
+            text: request.text.into(),
             memory: held,
             client: WaitingClient::new(connected),
         });
-        self.asked.borrow_mut().insert(number, statement.clone());
-        let awaited = Awaited { asked: self.asked.clone(), number };
+        self.open_jobs.borrow_mut().insert(number, statement.clone());
+        let open_job = OpenJob { open_jobs: self.open_jobs.clone(), number };
         let arrival = Event::JobArrived {
             client: self.client,
             statement,
-            kind: asked.kind,
-            group: asked.group,
-            tenant: asked.tenant.map(str::to_owned),
-            order_key: asked.key.map(str::to_owned),
-            stated_work: asked.told,
-            memory: asked.memory,
-            deadline: arrived + asked.wait,
-            responder: self.reply(number, place, Some(awaited)),
+            kind: request.reservation_type,
+            group: request.group,
+            tenant: request.tenant.map(str::to_owned),
+            order_key: request.order_key.map(str::to_owned),
+            stated_work: request.stated_work,
+            memory: request.memory_mb,
+            deadline: arrived + request.wait,
+            responder: self.responder(number, permit, Some(open_job)),
         };
         let _ = self.context.events.send(arrival).await;
         Ok(())
