--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -50,7 +50,7 @@
     /// never had. Cost: the key of a query that is given up waits for one poll, at most 250 ms at a healthy
     /// engine; if that connection is gone, it waits for the query's expiry. If a POST was not written
     /// completely, it never runs as long as that remains so.
-    pub async fn give_up_over_own(&self, work: Pin<&mut impl Future<Output = QueryEnd>>) {
+    pub async fn give_up_over_post_connection(&self, work: Pin<&mut impl Future<Output = QueryEnd>>) {
         if self.is_posted.get() {
             self.give_up_requested.set(true);
             with_timeout(ANSWER_TIMEOUT, work).await;
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -31,7 +31,7 @@
 /// Pause between calls that fail at once.
 pub const RETRY_PAUSE: Span = Span::from_micros(20_000);
 /// Shortest and longest pause between attempts to connect that fail at once. The pause doubles, because
-/// thousands of jobs may wait for the same connection.
+/// thousands of jobs may wait for the same resource.
 const MIN_CONNECT_PAUSE: Span = Span::from_micros(5_000);
 const MAX_CONNECT_PAUSE: Span = Span::from_micros(40_000);
 /// A call that gets no answer for this long is repeated on another connection.
@@ -171,7 +171,7 @@
             let may_be_sent_again =
                 query.dispatch.order_key.is_some() && query.dispatch.statement.client.is_waiting();
             if query.doubt.is_refused() || may_be_sent_again {
-                query.give_up_over_own(work).await;
+                query.give_up_over_post_connection(work).await;
             } else {
                 unfinished = Some(work);
             }
@@ -182,7 +182,7 @@
     notifier.report(end, doubt).await;
     // Only the next job of its key waits for this.
     if let (Some(work), Some(_), Some(_)) = (unfinished, doubt, query.dispatch.order_key) {
-        query.give_up_over_own(work).await;
+        query.give_up_over_post_connection(work).await;
     }
     notifier.settle(doubt).await;
 }
--- a/crates/router/src/discovery/calls.rs
+++ b/crates/router/src/discovery/calls.rs
@@ -51,10 +51,10 @@
         Self { pending: Vec::new(), former: Vec::new() }
     }
 
-    /// Returns when one more call is due, if any is under way. Threat: a connection went silent before a
-    /// notice to drain, or does not come up; so one more call is due an interval after the youngest. If more
-    /// than `unslowed_calls` requests were written and none was answered, discovery itself is overloaded, and
-    /// each further call would add to the load: the interval doubles with each.
+    /// Returns when one more call is due, if any is under way. Threat: a connection goes silent while it
+    /// should carry a notice to drain, or does not come up; so one more call is due an interval after the
+    /// youngest. If more than `unslowed_calls` requests were written and none was answered, discovery itself
+    /// is overloaded, and each further call would add to the load: the interval doubles with each.
     pub fn due(&self, interval: Span, unslowed_calls: usize) -> Option<Moment> {
         let written = self.pending.iter().filter(|call| call.is_written.get()).count();
         let intervals = f64::from(1 << written.saturating_sub(unslowed_calls));
@@ -112,8 +112,8 @@
     }
 
     /// Notes that calls go to another address from now on. Threat: discovery moves several times in a row,
-    /// each time before a late answer that would have reported a change. The youngest calls to the old
-    /// addresses are kept until they are answered.
+    /// each time while a late answer that would have reported a change is still pending. The youngest calls
+    /// to the old addresses are kept until they are answered.
     pub fn moved(&mut self) {
         self.former.append(&mut self.pending);
         let excess = self.former.len().saturating_sub(MAX_FORMER_CALLS);
