--- a/crates/adapter/src/flint.rs
+++ b/crates/adapter/src/flint.rs
@@ -1,4 +1,5 @@
-//! The bench's wire, flint-ad08: one JSON line for each batch and for each reply. Its names end here.
+//! The bench's wire protocol, flint-ad08: one JSON line per batch and per reply. Only this module uses the
+//! protocol's names.
 
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
@@ -9,7 +10,7 @@
 use woadhook_host::Instance;
 use woadhook_host::fields::*;
 
-/// All instances of this process. They share the numbered pages of the engine list, and nothing else.
+/// All instances of this process. They share only the numbered pages of the engine list.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
@@ -17,8 +18,8 @@
 }
 
 impl Host {
-    /// Takes in one batch and returns the reply to it.
-    pub fn answer(&mut self, line: &str) -> Result<Value> {
+    /// Applies the events of one batch and returns the reply to it.
+    pub fn handle_batch(&mut self, line: &str) -> Result<Value> {
         let batch: Value = serde_json::from_str(line).map_err(|error| format!("not a batch: {error}"))?;
         let now = Moment::from_micros(integer(&batch, "atTimeUs")?);
         let mut replies = Vec::new();
@@ -26,14 +27,14 @@
             let events = array(part, "happened")?;
             let who = text(part, "who").ok();
             for event in events {
-                self.take_in(now, who, event)?;
+                self.apply(now, who, event)?;
             }
             let Some(who) = who else { continue };
             let Some(instance) = self.instances.get_mut(who) else { continue };
             let mut steps = Vec::new();
             if let Err(panic) = catch_unwind(AssertUnwindSafe(|| decide(instance, now, &mut steps))) {
                 self.instances.remove(who);
-                steps = vec![give_in(panic.as_ref())];
+                steps = vec![panic_step(panic.as_ref())];
             }
             if !steps.is_empty() {
                 replies.push(json!({"who": who, "steps": steps}));
@@ -42,17 +43,17 @@
         Ok(json!({"parts": replies}))
     }
 
-    fn take_in(&mut self, now: Moment, who: Option<&str>, event: &Value) -> Result<()> {
+    fn apply(&mut self, now: Moment, who: Option<&str>, event: &Value) -> Result<()> {
         let kind = text(event, "kind")?;
         let owner = || who.ok_or_else(|| format!("{kind} lacks who"));
-        let named = |fault: String| format!("{kind}: {fault}");
+        let with_kind = |error: String| format!("{kind}: {error}");
         match kind {
             "SNAPSHOT_ROWS" => {
-                let page = integer(event, "page").map_err(named)?;
-                self.pages.insert(page, array(event, "items").map_err(named)?.to_vec());
+                let page = integer(event, "page").map_err(with_kind)?;
+                self.pages.insert(page, array(event, "items").map_err(with_kind)?.to_vec());
             }
             "SPAWN" => {
-                let instance = start(now, event).map_err(named)?;
+                let instance = start(now, event).map_err(with_kind)?;
                 self.instances.insert(owner()?.to_owned(), instance);
             }
             "TEARDOWN" => {
@@ -60,7 +61,7 @@
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(owner()?) else { return Ok(()) };
-                take_in(instance, now, kind, event, &self.pages).map_err(named)?;
+                apply(instance, now, kind, event, &self.pages).map_err(with_kind)?;
             }
         }
         Ok(())
@@ -71,25 +72,25 @@
     Instance::start(now, integer(event, "initSeed")?, required(event, "bootInfo")?)
 }
 
-fn take_in(
+fn apply(
     instance: &mut Instance, now: Moment, kind: &str, event: &Value, pages: &BTreeMap<u64, Vec<Value>>,
 ) -> Result<()> {
     match kind {
         "REGISTRY" => follow_list(instance, now, event, pages)?,
         "REQUEST" => {
             let job = JobId(instance.jobs.intern(text(event, "txn")?));
-            let bits = integer(event, "bitmap").unwrap_or(0);
-            let told = if bits & 1 == 1 { Some(span(event, "costUs")?) } else { None };
-            let kind = TypeId(index_of(&instance.types, text(event, "class")?, "class")?);
-            let key = text(event, "target").ok().and_then(|key| instance.intern_key(kind, key));
+            let present_fields = integer(event, "bitmap").unwrap_or(0);
+            let estimate = if present_fields & 1 == 1 { Some(span(event, "costUs")?) } else { None };
+            let type_id = TypeId(index_of(&instance.types, text(event, "class")?, "class")?);
+            let key = text(event, "target").ok().and_then(|key| instance.intern_key(type_id, key));
             instance.router.job_arrived(
                 now,
                 job,
-                kind,
+                type_id,
                 text(event, "account").ok().and_then(|name| position(&instance.tenants, name)).map(TenantId),
                 GroupId(integer(event, "schemaNo").unwrap_or(0) as usize),
                 key,
-                told,
+                estimate,
                 number(event, "estMemoryMb").unwrap_or(0.0),
                 span(event, "expiresInUs")?,
             );
@@ -99,27 +100,27 @@
             let job = instance.jobs.get(text(event, "txn")?);
             let (number, took) = (integer(event, "sendNo")? as usize, span(event, "lagUs")?);
             let outcome = outcome(event)?;
-            let over = flag(event, "noMore");
-            let told = integer(event, "usedUp")
+            let closes_job = flag(event, "noMore");
+            let true_cost = integer(event, "usedUp")
                 .ok()
                 .filter(|_| instance.costs_in_answers)
-                .map(|note| (Span::from_micros(note / 4096 * 1000), (note % 4096) as f64 * 4.0));
+                .map(|packed| (Span::from_micros(packed / 4096 * 1000), (packed % 4096) as f64 * 4.0));
             if let Some(job) = job {
-                instance.router.dispatch_ended(now, JobId(job), number, outcome, took, told, over);
+                instance.router.dispatch_ended(now, JobId(job), number, outcome, took, true_cost, closes_job);
             }
         }
         "INTERIM" => {
             let job = instance.jobs.get(text(event, "txn")?);
-            let (sent, level) = (integer(event, "sendNo")? as usize, number(event, "level").unwrap_or(0.0));
+            let (number, level) = (integer(event, "sendNo")? as usize, number(event, "level").unwrap_or(0.0));
             let progress = match (integer(event, "what")?, level) {
-                (1, share) => Progress::Fraction(share),
+                (1, fraction) => Progress::Fraction(fraction),
                 (2, missing) => Progress::Spills(missing),
                 (3, 1.0) => Progress::WaitsForMemory,
                 (3, _) => Progress::WaitsForLoad,
                 _ => return Ok(()),
             };
             if let Some(job) = job {
-                instance.router.progress_reported(now, JobId(job), sent, progress);
+                instance.router.progress_reported(now, JobId(job), number, progress);
             }
         }
         "SAMPLED" => {
@@ -134,7 +135,8 @@
                 instance.router.job_closed(JobId(job));
             }
         }
-        // Timers only wake the module; messages of neighbours, streams and what is unknown have no use.
+        // A timer only makes the caller pull decisions. Messages of other instances, streams and unknown
+        // events are ignored.
         _ => {}
     }
     Ok(())
@@ -150,29 +152,29 @@
     }
     let page = integer(event, "page")?;
     let items = pages.get(&page).ok_or_else(|| format!("page: no list {page}"))?;
-    let mut named = Vec::with_capacity(items.len());
+    let mut listed = Vec::with_capacity(items.len());
     for item in items {
         let engine = EngineId(instance.engines.intern(text(item, "engine")?));
-        let listed = match text(item, "phase")? {
+        let status = match text(item, "phase")? {
             "live" => EngineStatus::Live,
             "quiescing" => EngineStatus::Draining,
             "dead" => EngineStatus::Gone,
             other => return Err(format!("phase: unknown {other}")),
         };
         let came_up = integer(item, "cameUpUs").ok().filter(|&at| at > 0);
-        // The bench's clock is the engines' own, so this age is the true one.
+        // The bench and the engines use the same clock, so this age is exact.
         let age = |at| now.since(Moment::from_micros(at));
         let start = came_up.map(|stamp| EngineStart { stamp, age: age(stamp) });
         let zone = ZoneId(index_of(&instance.zones, text(item, "area")?, "area")?);
         let kind = KindId(index_of(&instance.kinds, text(item, "familyType")?, "familyType")?);
         let cell = CellId(integer(item, "stripe").unwrap_or(0) as usize);
         let stable_hash = instance.engines.stable_hash(engine.0);
-        instance.router.engine_listed(now, engine, zone, kind, cell, listed, start, stable_hash);
-        named.push(engine);
+        instance.router.engine_listed(now, engine, zone, kind, cell, status, start, stable_hash);
+        listed.push(engine);
     }
     match mode {
         "update" => instance.router.list_changed(),
-        "restored" | "replace" => instance.router.list_complete(&named),
+        "restored" | "replace" => instance.router.list_complete(&listed),
         other => return Err(format!("mode: unknown {other}")),
     }
     Ok(())
@@ -181,7 +183,7 @@
 fn take_report(instance: &mut Instance, now: Moment, event: &Value) -> Result<()> {
     let Ok(values) = numbers(event, "pressure") else { return Ok(()) };
     if let Some(engine) = instance.engines.get(text(event, "engine")?) {
-        instance.load_reported(now, EngineId(engine), |place, _| values.get(place).copied());
+        instance.load_reported(now, EngineId(engine), |index, _| values.get(index).copied());
     }
     Ok(())
 }
@@ -193,8 +195,8 @@
                 let txn = instance.jobs.name(job.0);
                 steps.push(json!({"kind": "ALLOT", "txn": txn, "memMb": memory, "rank": priority}));
                 let engine = instance.engines.name(engine.0);
-                let wait = timeout.micros();
-                steps.push(json!({"kind": "DELIVER", "txn": txn, "engine": engine, "maxWaitUs": wait}));
+                let timeout = timeout.micros();
+                steps.push(json!({"kind": "DELIVER", "txn": txn, "engine": engine, "maxWaitUs": timeout}));
             }
             Decision::CancelDispatch { job, number } => {
                 let txn = instance.jobs.name(job.0);
@@ -218,8 +220,8 @@
                 steps.push(json!({"kind": "AFTER", "spanUs": after.micros(), "tag": "wake"}));
             }
             Decision::SetAside { engine, why } => {
-                let words = format!("engine {} set aside: {}", engine.0, why.description());
-                steps.push(json!({"kind": "RECORD", "msg": words}));
+                let message = format!("engine {} set aside: {}", engine.0, why.description());
+                steps.push(json!({"kind": "RECORD", "msg": message}));
             }
             Decision::Back { engine } => {
                 steps.push(json!({"kind": "RECORD", "msg": format!("engine {} is back", engine.0)}));
@@ -231,11 +233,11 @@
     }
 }
 
-/// An instance's last step after a panic.
-pub fn give_in(panic: &(dyn Any + Send)) -> Value {
-    let words = panic.downcast_ref::<String>().map(String::as_str);
-    let words = words.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-    json!({"kind": "GIVE_IN", "msg": words})
+/// The last step of an instance that panicked.
+pub fn panic_step(panic: &(dyn Any + Send)) -> Value {
+    let message = panic.downcast_ref::<String>().map(String::as_str);
+    let message = message.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+    json!({"kind": "GIVE_IN", "msg": message})
 }
 
 fn outcome(event: &Value) -> Result<Outcome> {
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! Hosts routers of the decision module behind a protocol on standard input and output. [`flint`] is the
-//! bench's wire; another protocol would stand beside it and share the crate `woadhook_host`.
+//! Hosts routers of the decision module behind a protocol on standard input and output. [`flint`] implements
+//! the bench's wire protocol; another protocol would be a module beside it and use the crate `woadhook_host`
+//! too.
 
 pub mod flint;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The adapter: one reply to each line on standard input.
+//! The adapter: reads one batch per line from standard input and writes one reply per line.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -9,11 +9,11 @@
     let mut host = flint::Host::default();
     let mut output = io::stdout().lock();
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let reply = line.map_err(|error| error.to_string()).and_then(|line| host.answer(&line));
+        let reply = line.map_err(|error| error.to_string()).and_then(|line| host.handle_batch(&line));
         let written = match reply {
             Ok(reply) => writeln!(output, "{reply}").and_then(|()| output.flush()),
-            Err(fault) => {
-                eprintln!("line {}: {fault}", number + 1);
+            Err(error) => {
+                eprintln!("line {}: {error}", number + 1);
                 return ExitCode::FAILURE;
             }
         };
--- a/crates/host/src/instance.rs
+++ b/crates/host/src/instance.rs
@@ -1,4 +1,4 @@
-//! One router of the module, built from the settings, with the names that its host tells it by index.
+//! A router of the decision module, built from the settings, with the names behind the indices that it uses.
 
 use serde_json::Value;
 use woadhook::*;
@@ -6,33 +6,36 @@
 use crate::fields::*;
 use crate::interner::Interner;
 
-/// One router and the names that it is told by index.
+/// A router and the names behind the indices that it uses.
 pub struct Instance {
     pub router: Router,
     pub jobs: Interner,
     pub keys: Interner,
     pub engines: Interner,
+    /// Names of the reservation types, by index.
     pub types: Vec<String>,
-    /// By type: whether it keeps order by key.
+    /// Whether jobs with the same order key run in order, by type.
     ordered: Vec<bool>,
-    /// By type: whether it must not run twice.
+    /// Whether a job must not run more than once, by type.
     run_once: Vec<bool>,
-    /// Whether two dispatches of a job may be out at once.
+    /// Whether two dispatches of a job may be in flight at once.
     pub concurrent_dispatches: bool,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
+    /// Names of the values in a load report, in their order.
     pub report_fields: Vec<String>,
+    /// Whether answers contain the true cost of their job.
     pub costs_in_answers: bool,
 }
 
-/// The longest come-back time that clients heed, where they are told one.
+/// The longest retry-after time that clients respect, if they are sent one.
 pub fn max_retry_after(limits: &Value) -> Result<Option<Span>> {
     flag(limits, "retryAfter").then(|| span(limits, "maxRetryAfterUs")).transpose()
 }
 
 impl Instance {
-    /// A router built from the settings object, the same on every wire.
+    /// Builds a router from the settings object, which is the same in every protocol.
     pub fn start(now: Moment, seed: u64, info: &Value) -> Result<Self> {
         let (limits, rules, family) =
             (required(info, "limits")?, required(info, "obligations")?, required(info, "familyInfo")?);
@@ -40,7 +43,7 @@
         let zones = strings(info, "zones")?;
         let kinds = strings(info, "kinds")?;
         let classes = array(info, "classes")?;
-        let types = classes.iter().enumerate().map(|(place, class)| {
+        let types = classes.iter().enumerate().map(|(index, class)| {
             let effect = match text(class, "effect")? {
                 "repeatable" => Effect::Restartable,
                 "by_key" => Effect::Keyed {
@@ -66,9 +69,9 @@
                 zones: indices_of(class, "runsIn", &zones).map(|open| open.into_iter().map(ZoneId).collect()),
                 kinds: indices_of(class, "kindsOpen", &kinds)
                     .map(|open| open.into_iter().map(KindId).collect()),
-                threads: numbers(family, "widthByClass")?.get(place).copied().unwrap_or(1.0).max(1.0),
-                is_load: flag_at(family, "isLoad", place),
-                waits_for_loads: flag_at(family, "waitsForLoads", place),
+                threads: numbers(family, "widthByClass")?.get(index).copied().unwrap_or(1.0).max(1.0),
+                is_load: flag_at(family, "isLoad", index),
+                waits_for_loads: flag_at(family, "waitsForLoads", index),
             })
         });
         let types = types.collect::<Result<Vec<_>>>()?;
@@ -77,13 +80,13 @@
             tenants.iter().map(|tenant| number(tenant, "allowancePerS")).collect::<Result<Vec<_>>>()?;
         let retry_budget = match (number(rules, "freeResends"), number(rules, "extraRatio")) {
             (Err(_), Err(_)) => None,
-            (free, share) => Some(RetryBudget {
-                free_retries: free.unwrap_or(0.0),
-                retry_ratio: share.unwrap_or(0.0),
+            (free_retries, retry_ratio) => Some(RetryBudget {
+                free_retries: free_retries.unwrap_or(0.0),
+                retry_ratio: retry_ratio.unwrap_or(0.0),
                 window: span(rules, "countedOverUs")?,
             }),
         };
-        let how = text(feedback, "how")?;
+        let report_mode = text(feedback, "how")?;
         let fleet = Fleet {
             zone: ZoneId(index_of(&zones, text(info, "zone")?, "zone")?),
             router_count: integer(info, "replicasOfMe")? as usize,
@@ -98,36 +101,46 @@
             start_capacity: number(rules, "startCapacity")?,
             cold_period: span(rules, "coldUs")?,
         };
-        let further = RetryLimits {
+        let retry_limits = RetryLimits {
             max_dispatches: integer(limits, "tryLimit")? as usize,
             concurrent_dispatches: flag(limits, "secondCopies"),
             can_cancel: flag(limits, "cancelling"),
             key_rest: span(rules, "turnGapUs").unwrap_or_default(),
             retry_budget,
         };
-        let asked = text(info, "discovery")? == "on_request";
-        let watching = Monitoring {
+        let list_on_request = text(info, "discovery")? == "on_request";
+        let monitoring = Monitoring {
             may_probe: flag(limits, "mayProbe"),
-            reports_with_probes_only: how == "probe",
+            reports_with_probes_only: report_mode == "probe",
             connect_timeout: span(limits, "connectTimeoutUs")?,
             progress_period: span(family, "notePeriodUs").unwrap_or_default(),
-            max_list_age: asked.then(|| span(rules, "askWithinUs")).transpose()?,
+            max_list_age: list_on_request.then(|| span(rules, "askWithinUs")).transpose()?,
         };
-        let answers = AnswerPolicy {
+        let answer_policy = AnswerPolicy {
             slack: span(rules, "answerSlackUs")?,
             max_retry_after: max_retry_after(limits)?,
             value_by_work: text(info, "worthBy").is_ok_and(|by| by == "work"),
             over_share_factor: number(info, "overShareWorth").unwrap_or(1.0),
             tenant_rates,
         };
-        let terms = MemoryGrants {
+        let memory_grants = MemoryGrants {
             enabled: flag(family, "takesGrants"),
             max_grant_share: number(family, "maxGrantShare").unwrap_or(1.0),
         };
-        let ordered = types.iter().map(|kind| kind.ordered).collect();
-        let run_once = types.iter().map(|kind| kind.effect == Effect::RunOnce).collect();
-        let concurrent_dispatches = further.concurrent_dispatches;
-        let router = Router::new(now, seed, types, fleet, cold, further, watching, answers, terms);
+        let ordered = types.iter().map(|t| t.ordered).collect();
+        let run_once = types.iter().map(|t| t.effect == Effect::RunOnce).collect();
+        let concurrent_dispatches = retry_limits.concurrent_dispatches;
+        let router = Router::new(
+            now,
+            seed,
+            types,
+            fleet,
+            cold,
+            retry_limits,
+            monitoring,
+            answer_policy,
+            memory_grants,
+        );
         Ok(Self {
             router,
             jobs: Interner::default(),
@@ -146,26 +159,27 @@
                 .collect::<Result<_>>()?,
             zones,
             kinds,
-            report_fields: if how == "none" { Vec::new() } else { strings(feedback, "names")? },
+            report_fields: if report_mode == "none" { Vec::new() } else { strings(feedback, "names")? },
             costs_in_answers: flag(family, "costInAnswers"),
         })
     }
 
-    /// The index of a key, where the type keeps order; the module would never let go of another.
-    pub fn intern_key(&mut self, kind: TypeId, name: &str) -> Option<KeyId> {
-        self.ordered[kind.0].then(|| KeyId(self.keys.intern(name)))
+    /// The index of an order key, if the type keeps order. For other types the module would never release it.
+    pub fn intern_key(&mut self, type_id: TypeId, name: &str) -> Option<KeyId> {
+        self.ordered[type_id.0].then(|| KeyId(self.keys.intern(name)))
     }
 
-    /// Whether jobs of a type must not run twice.
-    pub fn is_run_once(&self, kind: TypeId) -> bool {
-        self.run_once[kind.0]
+    /// Whether jobs of a type must not run more than once.
+    pub fn is_run_once(&self, type_id: TypeId) -> bool {
+        self.run_once[type_id.0]
     }
 
-    /// A load report; `value` finds what it holds for a name, by its place among `report_fields` or by itself.
+    /// Passes a load report to the router. `value` returns the report's value for a name, given the name and
+    /// its index in `report_fields`.
     pub fn load_reported(
         &mut self, now: Moment, engine: EngineId, value: impl Fn(usize, &str) -> Option<f64>,
     ) {
-        let value = |name| position(&self.report_fields, name).and_then(|place| value(place, name));
+        let value = |name| position(&self.report_fields, name).and_then(|index| value(index, name));
         let (active, waiting, cpu, disks) = (value("active"), value("waiting"), value("cpu"), value("x1"));
         self.router.load_reported(now, engine, active, waiting, cpu, disks);
     }
--- a/crates/host/src/interner.rs
+++ b/crates/host/src/interner.rs
@@ -1,11 +1,11 @@
-//! Maps the names of a protocol to small indices and back, at the door.
+//! Maps the names of a protocol to small indices and back.
 
 use std::collections::HashMap;
 use std::hash::Hasher;
 
 use fnv::FnvHasher;
 
-/// Names and their indices. A forgotten index is given out again, so that it stays as small as what is held.
+/// A table of names and their indices. Released indices are reused, so that the indices stay small.
 #[derive(Default)]
 pub struct Interner {
     indices: HashMap<String, usize>,
@@ -14,7 +14,7 @@
 }
 
 impl Interner {
-    /// The index of a name, a new one if it has none yet.
+    /// Returns the index of a name and assigns one if it has none.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&index) = self.indices.get(name) {
             return index;
@@ -28,21 +28,25 @@
         index
     }
 
+    /// Returns the index of a name, if it has one.
     pub fn get(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
-    /// A number from the name, the same at every router and spread over all its bits.
+    /// A hash of the name (FNV-1a), the same at every router and spread over all 64 bits. Panics if the index
+    /// was never assigned.
     pub fn stable_hash(&self, index: usize) -> u64 {
         let mut hash = FnvHasher::default();
         hash.write(self.names[index].as_bytes());
         hash.finish()
     }
 
+    /// The name of an index. Panics if the index was never assigned.
     pub fn name(&self, index: usize) -> &str {
         &self.names[index]
     }
 
+    /// Removes a name, so that its index may be reused.
     pub fn release(&mut self, index: usize) {
         if self.indices.remove(&self.names[index]).is_some() {
             self.free.push(index);
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every host of the decision module shares: names and their small indices, and a router built from the
-//! settings object.
+//! Code that all hosts of the decision module share: interning of names, access to JSON fields, and a router
+//! built from the settings object.
 
 pub mod fields;
 mod instance;
