--- a/crates/gossip/tests/properties.rs
+++ b/crates/gossip/tests/properties.rs
@@ -12,7 +12,7 @@
     encode_signed, envelope_bytes,
 };
 use woadhook_standins::cluster::*;
-use woadhook_standins::net::Weather;
+use woadhook_standins::net::NetworkConditions;
 
 const NO_MEMBER: MemberId = MemberId(0);
 
@@ -44,7 +44,7 @@
     ) {
         let now = START + secs(9.0);
         let own = identity(4, "n4", now);
-        let record = MemberRecord::issue(&own, address(4), number, number % 2 == 0);
+        let record = MemberRecord::issue(&own, node_address(4), number, number % 2 == 0);
         let observation = Observation::issue(&own, number, in_reply_to, now, &engine, START, condition, reservation_type.as_deref(), confidence);
         let report = FailureReport::issue(&own, MemberId(in_reply_to), view_digest, now);
         let items: Vec<(ItemTag, Rc<[u8]>)> = vec![
@@ -75,15 +75,15 @@
     /// Nothing is learned from a datagram that was changed in any way.
     #[test]
     fn nothing_is_learned_from_altered_datagrams(position in 0_usize..800, flip in 1_u8..=255, cut in 0_usize..900) {
-        let mut cluster = Cluster::new(1, 2, Weather::calm(), usual_pace());
-        cluster.acquaint();
-        cluster.list(&["e-1"]);
-        cluster.pass(secs(1.0));
+        let mut cluster = Cluster::new(1, 2, NetworkConditions::reliable(), default_gossip_config());
+        cluster.introduce_all();
+        cluster.set_engines(&["e-1"]);
+        cluster.run_for(secs(1.0));
         let now = cluster.now;
         let own = identity(1, "n1", now);
         let record = cluster.core(1).own_record();
         let observation = Observation::issue(&own, record.incarnation, 9, now, "e-1", Moment::default(), EngineCondition::Silent, None, 255);
-        let unrelated = MemberRecord::issue(&identity(7, "n7", now), address(7), 1_780_000_000_000, false);
+        let unrelated = MemberRecord::issue(&identity(7, "n7", now), node_address(7), 1_780_000_000_000, false);
         let items: Vec<(ItemTag, Rc<[u8]>)> = vec![(ItemTag::Observation, observation.to_bytes().into()), (ItemTag::MemberRecord, unrelated.bytes.clone())];
         let to = cluster.core(0).id();
         let (bytes, _) = encode_signed(&own, DatagramKind::Ping, to, now, 900, 0, NO_MEMBER, (2, 0), &record.bytes, &items, 0);
@@ -92,10 +92,10 @@
         changed[position] ^= flip;
         changed.truncate(if cut < bytes.len() { cut } else { bytes.len() });
         let view = cluster.core(0).view_digest();
-        cluster.at(0, |now, core| core.receive(now, address(1), &changed));
+        cluster.with_core(0, |now, core| core.receive(now, node_address(1), &changed));
         prop_assert_eq!(cluster.core(0).counters().observations_accepted, 0);
         prop_assert_eq!(cluster.core(0).view_digest(), view);
-        cluster.at(0, |now, core| core.receive(now, address(1), &bytes));
+        cluster.with_core(0, |now, core| core.receive(now, node_address(1), &bytes));
         prop_assert_eq!(cluster.core(0).counters().observations_accepted, 1, "the unchanged datagram is accepted");
         prop_assert!(cluster.core(0).view_digest() != view);
     }
@@ -151,31 +151,31 @@
         seed in any::<u64>(), count in 3_usize..16, loss in 0.0_f64..0.4, side in any::<u16>(), dies in any::<u16>(),
         restarts in any::<u16>(),
     ) {
-        let weather = Weather { loss, twice: 0.1, delay: (Span::ZERO, secs(0.05)) };
-        let mut cluster = Cluster::new(seed, count, weather, usual_pace());
-        cluster.pass(secs(3.0));
+        let weather = NetworkConditions { loss, duplication: 0.1, delay: (Span::ZERO, secs(0.05)) };
+        let mut cluster = Cluster::new(seed, count, weather, default_gossip_config());
+        cluster.run_for(secs(3.0));
         let is_in = |set: u16, node: usize| set & (1 << node) != 0;
         for node in 0..count {
             let position = cluster.nodes[node].address;
-            cluster.net.part(position, u8::from(is_in(side, node)));
+            cluster.net.set_partition(position, u8::from(is_in(side, node)));
             if is_in(dies, node) && node > 0 {
                 cluster.kill(node);
             }
         }
-        cluster.pass(secs(4.0));
+        cluster.run_for(secs(4.0));
         for node in (0..count).filter(|node| is_in(restarts, *node)) {
             if cluster.nodes[node].core.is_none() {
                 cluster.start(node);
             }
         }
         cluster.net.heal();
-        cluster.net.weather = Weather::calm();
-        let agreed = cluster.until(secs(60.0), Cluster::agree);
+        cluster.net.conditions = NetworkConditions::reliable();
+        let agreed = cluster.run_until(secs(60.0), Cluster::views_agree);
         let views: Vec<_> = cluster.running().map(|(node, core)| (node, core.live_members())).collect();
         prop_assert!(agreed.is_some(), "{views:?}");
     }
 }
 
 fn own_key() -> [u8; 32] {
-    secret(4).public()
+    secret_key(4).public()
 }
--- a/crates/router/tests/drain_resets.rs
+++ b/crates/router/tests/drain_resets.rs
@@ -50,13 +50,13 @@
     }
 }
 
-fn engine(number: usize, seen: &Arc<Mutex<Seen>>) -> Standin {
+fn engine(number: usize, seen: &Arc<Mutex<Seen>>) -> StandinServer {
     let seen = seen.clone();
-    Standin::on(ports::listener(), move |call| {
+    StandinServer::on_listener(ports::listener(), move |call| {
         let (mut seen, now) = (seen.lock().unwrap(), Instant::now());
         let is_first = call.line.contains("0000000000000001")
             || call.fields.contains(&"X-Trace: 0000000000000001".into());
-        let still_running = || says(202, &[], "");
+        let still_running = || response(202, &[], "");
         match call.line.split(' ').next() {
             Some("POST") if is_first => {
                 (seen.first, seen.asked) = (Some((number, now)), Some(now));
@@ -64,17 +64,17 @@
             }
             Some("GET") if is_first => {
                 seen.asked = Some(now);
-                Says::Late(Duration::from_millis(50), Box::new(still_running()))
+                Response::Delayed(Duration::from_millis(50), Box::new(still_running()))
             }
             Some("DELETE") => {
                 seen.deleted.get_or_insert(now);
-                says(204, &[], "")
+                response(204, &[], "")
             }
             Some("POST") => {
                 seen.second.get_or_insert(now);
-                pages(call, &[ROWS])
+                result_page(call, &[ROWS])
             }
-            _ => pages(call, &[ROWS]),
+            _ => result_page(call, &[ROWS]),
         }
     })
 }
@@ -82,20 +82,23 @@
 /// The fault of one play, in which the engine of the first query drains so long behind it.
 fn play(drains_after: Duration, leaves: bool) -> Result<(), String> {
     let seen: Arc<Mutex<Seen>> = Arc::default();
-    let engines: Vec<Standin> = (0..ENGINES).map(|number| engine(number, &seen)).collect();
+    let engines: Vec<StandinServer> = (0..ENGINES).map(|number| engine(number, &seen)).collect();
     let addresses: Vec<_> = engines.iter().map(|engine| engine.address).collect();
-    let events = Events::default();
+    let events = DiscoveryEvents::default();
     let discovery = events.serve();
-    let mut given: Value = serde_json::from_str(&told(&addresses, discovery.address, 1024)).unwrap();
+    let mut given: Value = serde_json::from_str(&router_config(&addresses, discovery.address, 1024)).unwrap();
     given["settings"]["obligations"]["turnGapUs"] = json!(50_000);
     given["settings"]["classes"][1]["keepOrder"] = json!(true);
-    let router = Running::with(&given.to_string());
-    let mut client = Client::new(&router);
+    let router = RouterThread::start_with_config(&given.to_string());
+    let mut client = Client::connect(&router);
     for (number, id, wait) in [(1, "0000000000000001", WAIT), (2, "0000000000000002", "20000")] {
         let fields = [("id", id), ("wait", wait), ("cost", "10"), ("ram", "1"), ("key", "k")];
-        client.0.write_all(&Client::request(number, "load", &fields, "select 1 from sales_1.x")).unwrap();
+        client
+            .0
+            .write_all(&Client::encode_request(number, "load", &fields, "select 1 from sales_1.x"))
+            .unwrap();
     }
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TEST_TIMEOUT;
     let (number, began) = loop {
         if let Some(first) = seen.lock().unwrap().first {
             break first;
@@ -110,14 +113,14 @@
         thread::sleep((began + at).saturating_duration_since(Instant::now()));
         match step {
             0 => {
-                events.add(2, vec![member(&format!("s-{number}"), addresses[number], "DRAINING")]);
-                engines[number].refuses();
+                events.add(2, vec![roster_member(&format!("s-{number}"), addresses[number], "DRAINING")]);
+                engines[number].refuse_connections();
             }
-            1 => engines[number].dies(),
-            _ => client.aborts(1),
+            1 => engines[number].end_process(),
+            _ => client.send_abort(1),
         }
     }
-    while client.hears().0 != 2 {}
+    while client.receive().0 != 2 {}
     let seen = seen.lock().unwrap();
     let (second, over) = (seen.second.expect("it was answered"), seen.over());
     if second < over {
--- a/crates/router/tests/failing_calls.rs
+++ b/crates/router/tests/failing_calls.rs
@@ -9,7 +9,7 @@
 use rustix::process::Signal;
 use woadhook_standins::folders;
 use woadhook_standins::preload::{Preload, SystemCall};
-use woadhook_standins::processes::Process;
+use woadhook_standins::processes::RouterProcess;
 use woadhook_standins::*;
 
 const ROWS: &str = "a\tb\tc\n";
@@ -22,36 +22,37 @@
 const ABORTED: u64 = 200;
 
 /// A router whose faults can be set; nothing where the machine has no compiler, which is told.
-fn router(story: &str, engine: &Standin) -> Option<(Process, Preload)> {
-    let folder = folders::own(env!("CARGO_TARGET_TMPDIR"), &format!("failing-{story}"));
+fn router(story: &str, engine: &StandinServer) -> Option<(RouterProcess, Preload)> {
+    let folder = folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("failing-{story}"));
     let preload =
         Preload::build(&folder, "n0").inspect_err(|missing| eprintln!("left out: {missing}")).ok()?;
-    let told = told(&[engine.address], "127.0.0.1:1".parse().unwrap(), 1024);
-    let process = Process::preloaded(&preload, env!("CARGO_BIN_EXE_woadhook"), &folder, "n0", &told);
-    process.ready();
+    let told = router_config(&[engine.address], "127.0.0.1:1".parse().unwrap(), 1024);
+    let process =
+        RouterProcess::start_with_preload(&preload, env!("CARGO_BIN_EXE_woadhook"), &folder, "n0", &told);
+    process.wait_until_ready();
     Some((process, preload))
 }
 
 /// Each request on one connection is served.
-fn serves_all(router: &Process, what: &str) {
+fn serves_all(router: &RouterProcess, what: &str) {
     let stream = TcpStream::connect(router.address).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut client = Client(stream);
     for number in 1..=REQUESTS {
-        client.asks(number, "load", 20_000);
-        assert_eq!(client.hears(), (number, Ok(ROWS.to_owned())), "{what}");
+        client.send_job(number, "load", 20_000);
+        assert_eq!(client.receive(), (number, Ok(ROWS.to_owned())), "{what}");
     }
 }
 
-fn client(of: &Process) -> Client {
+fn client(of: &RouterProcess) -> Client {
     let stream = TcpStream::connect(of.address).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     Client(stream)
 }
 
 /// Waits for what is to hold in the end.
 fn awaits(what: &str, mut holds: impl FnMut() -> bool) {
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < by, "{what}");
         thread::sleep(Duration::from_millis(5));
@@ -59,26 +60,26 @@
 }
 
 /// How often the router heard a reload, or ended.
-fn reports(router: &Process) -> usize {
-    router.said().matches("\"event\":\"counters\"").count()
+fn reports(router: &RouterProcess) -> usize {
+    router.log_text().matches("\"event\":\"counters\"").count()
 }
 
 /// Guards against an accept that goes round in place for as long as it is interrupted: all other connections and signals stood.
 #[test]
 fn an_accept_that_is_interrupted_each_time_holds_up_neither_requests_nor_signals() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((mut router, preload)) = router("interrupted-accept", &engine) else { return };
     let mut open = client(&router);
-    open.asks(1, "load", WAIT);
-    assert_eq!(open.hears(), (1, Ok(ROWS.to_owned())));
+    open.send_job(1, "load", WAIT);
+    assert_eq!(open.receive(), (1, Ok(ROWS.to_owned())));
     preload.fail(SystemCall::Accept, 1, Errno::INTR);
     let began = Instant::now();
     let mut late = client(&router);
-    late.asks(1, "load", LONG.as_millis() as u32);
-    awaits("accept is interrupted", || preload.failed(SystemCall::Accept) > 0);
+    late.send_job(1, "load", TEST_TIMEOUT.as_millis() as u32);
+    awaits("accept is interrupted", || preload.failure_count(SystemCall::Accept) > 0);
     for number in 2.. {
-        open.asks(number, "load", WAIT);
-        assert_eq!(open.hears(), (number, Ok(ROWS.to_owned())), "over an open connection");
+        open.send_job(number, "load", WAIT);
+        assert_eq!(open.receive(), (number, Ok(ROWS.to_owned())), "over an open connection");
         if began.elapsed() > FAULT {
             break;
         }
@@ -86,27 +87,27 @@
     router.signal(Signal::HUP);
     awaits("a reload is heard", || reports(&router) == 1);
     router.signal(Signal::TERM);
-    awaits("the end is heard", || router.said().contains("stopping"));
+    awaits("the end is heard", || router.log_text().contains("stopping"));
     preload.clear();
-    assert_eq!(late.hears(), (1, Ok(ROWS.to_owned())), "the client that came meanwhile");
-    assert!(router.ends().success());
+    assert_eq!(late.receive(), (1, Ok(ROWS.to_owned())), "the client that came meanwhile");
+    assert!(router.wait().success());
 }
 
 /// The same for the other calls of the thread.
 #[test]
 fn a_call_that_is_interrupted_each_time_holds_up_no_signal() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((router, preload)) = router("interrupted-each-time", &engine) else { return };
     for (place, call) in [SystemCall::Read, SystemCall::Peek, SystemCall::Write].into_iter().enumerate() {
         let mut client = client(&router);
-        let before = preload.failed(call);
+        let before = preload.failure_count(call);
         preload.fail(call, 1, Errno::INTR);
-        client.asks(1, "look", LONG.as_millis() as u32);
-        awaits(&format!("{call:?} is interrupted"), || preload.failed(call) > before);
+        client.send_job(1, "look", TEST_TIMEOUT.as_millis() as u32);
+        awaits(&format!("{call:?} is interrupted"), || preload.failure_count(call) > before);
         router.signal(Signal::HUP);
         awaits(&format!("a reload is heard while {call:?} is interrupted"), || reports(&router) == place + 1);
         preload.clear();
-        assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())), "once {call:?} is not interrupted");
+        assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())), "once {call:?} is not interrupted");
     }
 }
 
@@ -116,50 +117,51 @@
 /// Guards against counting interruptions as a client's slowness, in the middle of its message.
 #[test]
 fn a_message_whose_reads_are_interrupted_for_long_is_taken() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((router, preload)) = router("half-read", &engine) else { return };
     let mut client = client(&router);
-    let wait = LONG.as_millis() as u32;
-    let message = Client::message(1, "look", "0000000000000001", wait, "select 1 from sales_1.x");
+    let wait = TEST_TIMEOUT.as_millis() as u32;
+    let message = Client::encode_job(1, "look", "0000000000000001", wait, "select 1 from sales_1.x");
     let (start, rest) = message.split_at(message.len() / 2);
     client.0.write_all(start).unwrap();
-    assert!(Client(TcpStream::connect(router.address).unwrap()).tries_ping(), "the start has been read");
+    assert!(Client(TcpStream::connect(router.address).unwrap()).try_ping(), "the start has been read");
     preload.fail(SystemCall::Read, 1, Errno::INTR);
     client.0.write_all(rest).unwrap();
     thread::sleep(LONG_FAULT);
     preload.clear();
-    assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())));
 }
 
 /// The same for an answer.
 #[test]
 fn an_answer_whose_writes_are_interrupted_for_long_arrives() {
     let late = Duration::from_millis(300);
-    let engine = Standin::start(move |call| Says::Late(late, Box::new(pages(call, &[ROWS]))));
+    let engine =
+        StandinServer::start(move |call| Response::Delayed(late, Box::new(result_page(call, &[ROWS]))));
     let Some((router, preload)) = router("unwritten", &engine) else { return };
     let mut client = client(&router);
-    client.asks(1, "look", LONG.as_millis() as u32);
-    engine.awaits("POST");
+    client.send_job(1, "look", TEST_TIMEOUT.as_millis() as u32);
+    engine.wait_for_call("POST");
     preload.fail(SystemCall::Write, 1, Errno::INTR);
     thread::sleep(LONG_FAULT);
-    assert!(preload.failed(SystemCall::Write) > 0, "the answer is held up");
+    assert!(preload.failure_count(SystemCall::Write) > 0, "the answer is held up");
     preload.clear();
-    assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())));
 }
 
 /// Guards against a pause of the listener for each connection that ends before it is taken in.
 #[test]
 fn a_client_behind_many_aborted_connections_is_served_in_time() {
     for error in [Errno::CONNABORTED, Errno::PROTO, Errno::PERM, Errno::NETDOWN] {
-        let engine = Standin::start(|call| pages(call, &[ROWS]));
+        let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
         let Some((router, preload)) = router("aborted", &engine) else { return };
         preload.fail(SystemCall::Accept, 1, error);
         let mut client = client(&router);
         let began = Instant::now();
-        client.asks(1, "load", WAIT);
-        awaits("connections are aborted", || preload.failed(SystemCall::Accept) >= ABORTED);
+        client.send_job(1, "load", WAIT);
+        awaits("connections are aborted", || preload.failure_count(SystemCall::Accept) >= ABORTED);
         preload.clear();
-        assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())), "{error:?}");
+        assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())), "{error:?}");
         let took = began.elapsed();
         assert!(took < Duration::from_millis(WAIT.into()), "{error:?}: {took:?}");
     }
@@ -169,23 +171,23 @@
 /// longer than the client waits.
 #[test]
 fn a_client_whose_accept_fails_once_behind_a_quiet_time_has_all_of_its_time() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((router, preload)) = router("quiet", &engine) else { return };
     for error in [Errno::NFILE, Errno::CONNABORTED, Errno::INTR] {
         thread::sleep(Duration::from_millis(2 * u64::from(WAIT)));
-        let before = preload.failed(SystemCall::Accept);
+        let before = preload.failure_count(SystemCall::Accept);
         preload.fail(SystemCall::Accept, 1, error);
         let mut client = client(&router);
-        client.asks(1, "load", WAIT);
-        awaits("accept fails", || preload.failed(SystemCall::Accept) > before);
+        client.send_job(1, "load", WAIT);
+        awaits("accept fails", || preload.failure_count(SystemCall::Accept) > before);
         preload.clear();
-        assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())), "{error:?}");
+        assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())), "{error:?}");
     }
 }
 
 #[test]
 fn an_interrupted_call_ends_no_connection() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((router, preload)) = router("interrupted", &engine) else { return };
     for call in [SystemCall::Read, SystemCall::Write, SystemCall::Peek, SystemCall::Send, SystemCall::Accept]
     {
@@ -197,15 +199,15 @@
 
 #[test]
 fn short_reads_and_writes_lose_nothing() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((router, preload)) = router("short", &engine) else { return };
-    preload.shorten(7);
+    preload.limit_transfers(7);
     serves_all(&router, "seven bytes at a time");
 }
 
 #[test]
 fn a_connection_that_could_not_be_accepted_at_once_is_served() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((router, preload)) = router("accept", &engine) else { return };
     for error in [Errno::CONNABORTED, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::PROTO] {
         preload.clear();
@@ -218,14 +220,14 @@
 /// its own; three of them came, which the reader dropped.
 #[test]
 fn signals_are_heard_while_reads_and_writes_are_short() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let Some((mut router, preload)) = router("signals", &engine) else { return };
-    preload.shorten(3);
+    preload.limit_transfers(3);
     router.signal(Signal::HUP);
     serves_all(&router, "behind a reload");
     preload.clear();
     router.signal(Signal::TERM);
-    assert!(router.ends().success());
+    assert!(router.wait().success());
     // Once for the reload, and once at the end.
-    assert_eq!(router.said().matches("\"event\":\"counters\"").count(), 2);
+    assert_eq!(router.log_text().matches("\"event\":\"counters\"").count(), 2);
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -10,25 +10,25 @@
 use woadhook_standins::faults::{Fault, Schedule, shrink};
 use woadhook_standins::fleet::{Fleet, Layout, Tally};
 use woadhook_standins::folders;
-use woadhook_standins::processes::Process;
-use woadhook_standins::relays::{Side, Way};
-use woadhook_standins::{Events, told};
+use woadhook_standins::processes::RouterProcess;
+use woadhook_standins::relays::{EndpointSet, Way};
+use woadhook_standins::{DiscoveryEvents, router_config};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woadhook");
 
 fn folder(story: &str) -> PathBuf {
-    folders::own(env!("CARGO_TARGET_TMPDIR"), &format!("fleet-{story}"))
+    folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("fleet-{story}"))
 }
 
 /// Plays a schedule before ten routers and ten engines; its seed and faults are told if a rule breaks.
 fn play(story: &str, schedule: &Schedule) -> Tally {
-    play_at(story, Layout::plain(10, 10), schedule)
+    play_at(story, Layout::single_zone(10, 10), schedule)
 }
 
 fn play_at(story: &str, layout: Layout, schedule: &Schedule) -> Tally {
     let fleet = Fleet::start(PROGRAM, &folder(story), layout);
-    fleet.suffer(schedule);
-    fleet.settle();
+    fleet.run_schedule(schedule);
+    fleet.wait_for_drains();
     let tally = fleet.verdict().unwrap_or_else(|fault| panic!("{fault}\nafter {schedule:?}"));
     assert!(tally.done > 100 && tally.asked >= tally.done, "{tally:?}");
     tally
@@ -57,7 +57,7 @@
         (Fault::Kill((0..20).collect()), 2_500),
         (Fault::Kill((10..30).collect()), 2_500),
     ];
-    let tally = play_at("thirty", Layout::plain(30, 4), &Schedule { seed: 0, faults });
+    let tally = play_at("thirty", Layout::single_zone(30, 4), &Schedule { seed: 0, faults });
     assert!(tally.to_cold > 50, "cold engines are used: {tally:?}");
 }
 
@@ -66,11 +66,11 @@
 fn a_deadline_that_the_relays_held_up_is_told_with_their_rest() {
     /// Longer than what the judge allows for the machine and the deadline's slack.
     const STOOD: Duration = Duration::from_millis(1_200);
-    let fleet = Fleet::start(PROGRAM, &folder("stood"), Layout::plain(2, 2));
+    let fleet = Fleet::start(PROGRAM, &folder("stood"), Layout::single_zone(2, 2));
     // Again and again, as callers whose jobs run for long send none meanwhile.
     for _ in 0..4 {
         thread::sleep(Duration::from_millis(250));
-        fleet.relays.stand(STOOD);
+        fleet.relays.block_thread(STOOD);
         thread::sleep(STOOD);
     }
     let fault = fleet.verdict().expect_err("its requests were held up");
@@ -95,16 +95,16 @@
 
 #[test]
 fn a_zone_cut_off_on_both_sides_goes_on_serving_and_answers_all_it_took() {
-    let (one, rest) = (Side::zone("z1"), Side::All);
+    let (one, rest) = (EndpointSet::zone("z1"), EndpointSet::All);
     let within = (one.clone(), one.clone(), Way::default());
     let cut = vec![(one.clone(), rest.clone(), Way::CUT), (rest, one, Way::CUT), within];
     let faults = vec![(Fault::Lay(cut.clone(), CUT), 300), (Fault::Lay(cut, CUT / 2), 0)];
-    play_at("zone", Layout::zoned(9, 9, 3, 1), &Schedule { seed: 0, faults });
+    play_at("zone", Layout::with_zones(9, 9, 3, 1), &Schedule { seed: 0, faults });
 }
 
 #[test]
 fn a_way_that_is_cut_one_way_only_runs_no_load_twice() {
-    let (one, other) = (Side::zone("z0"), Side::zone("z1"));
+    let (one, other) = (EndpointSet::zone("z0"), EndpointSet::zone("z1"));
     let back = vec![(other.clone(), one.clone(), Way::CUT)];
     let there = vec![(one.clone(), other.clone(), Way::CUT)];
     // A load goes over, and nothing is heard of it for longer than a router asks: it may have run. The cut is shorter than
@@ -115,14 +115,14 @@
         (Fault::Reset(one, other), 0),
         (Fault::Lay(back, 2_800), 0),
     ];
-    play_at("one-way", Layout::zoned(8, 8, 2, 2), &Schedule { seed: 0, faults });
+    play_at("one-way", Layout::with_zones(8, 8, 2, 2), &Schedule { seed: 0, faults });
 }
 
 #[test]
 fn ways_between_zones_that_fail_by_a_schedule_from_a_seed_break_no_rule() {
     for seed in [11, 12] {
-        let layout = Layout::zoned(9, 9, 3, seed);
-        let schedule = Schedule::draw_ways(seed, 6, &layout.zone_names(), 9, CUT);
+        let layout = Layout::with_zones(9, 9, 3, seed);
+        let schedule = Schedule::draw_network_faults(seed, 6, &layout.zone_names(), 9, CUT);
         play_at(&format!("ways-{seed}"), layout, &schedule);
     }
 }
@@ -134,15 +134,15 @@
     let told = std::env::var("WAYS").unwrap_or_else(|_| "100..104".to_owned());
     let (from, to) = told.split_once("..").expect("FROM..TO");
     let breaks = |schedule: &Schedule| {
-        let layout = Layout::zoned(9, 9, 3, schedule.seed);
+        let layout = Layout::with_zones(9, 9, 3, schedule.seed);
         let fleet = Fleet::start(PROGRAM, &folder("search"), layout);
-        fleet.suffer(schedule);
-        fleet.settle();
+        fleet.run_schedule(schedule);
+        fleet.wait_for_drains();
         fleet.verdict().err()
     };
     for seed in from.parse::<u64>().unwrap()..to.parse().unwrap() {
-        let zones = Layout::zoned(9, 9, 3, seed).zone_names();
-        let schedule = Schedule::draw_ways(seed, 8, &zones, 9, CUT);
+        let zones = Layout::with_zones(9, 9, 3, seed).zone_names();
+        let schedule = Schedule::draw_network_faults(seed, 8, &zones, 9, CUT);
         if let Some(fault) = breaks(&schedule) {
             let least = shrink(&schedule, |fewer| breaks(fewer).is_some());
             panic!("seed {seed}: {fault}\nleft of it: {least:?}");
@@ -182,8 +182,9 @@
     let listed = Command::new("ldd").arg(PROGRAM).stdin(Stdio::null()).output().unwrap();
     let listed = String::from_utf8_lossy(&listed.stdout).into_owned();
     assert!(listed.contains("libc.so"), "not linked dynamically: {listed}");
-    let process = Process::start(PROGRAM, &folder("alone"), "n0", &told(&[], feed().address, 512));
-    process.ready();
+    let process =
+        RouterProcess::start(PROGRAM, &folder("alone"), "n0", &router_config(&[], feed().address, 512));
+    process.wait_until_ready();
     let id = process.id().unwrap();
     let until = Instant::now() + Duration::from_millis(300);
     while Instant::now() < until {
@@ -206,6 +207,6 @@
     }
 }
 
-fn feed() -> woadhook_standins::Standin {
-    Events::default().serve()
+fn feed() -> woadhook_standins::StandinServer {
+    DiscoveryEvents::default().serve()
 }
--- a/crates/router/tests/footprint.rs
+++ b/crates/router/tests/footprint.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use woadhook_standins::{Client, Events, LONG, told};
+use woadhook_standins::{Client, DiscoveryEvents, TEST_TIMEOUT, router_config};
 
 const FEW: usize = 100;
 const MANY: usize = 2_400;
@@ -26,7 +26,8 @@
             SocketAddr::from((Ipv4Addr::new(127, 1, (number / 250) as u8, (number % 250) as u8 + 1), 9))
         };
         let engines: Vec<SocketAddr> = (0..engines).map(engine).collect();
-        fs::write(&config, told(&engines, Events::default().serve().address, 1024)).unwrap();
+        fs::write(&config, router_config(&engines, DiscoveryEvents::default().serve().address, 1024))
+            .unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_woadhook"));
         command.env("LB_CONFIG", &config).env("LB_LISTEN", at.to_string()).env_remove("RUST_LOG");
         let program = Self(command.stderr(Stdio::null()).spawn().unwrap());
@@ -36,8 +37,8 @@
 
     /// Its pings are answered with true once the list is taken in.
     fn await_list(&self, at: SocketAddr) {
-        let until = Instant::now() + LONG;
-        let ready = || TcpStream::connect(at).is_ok_and(|stream| Client(stream).tries_ping());
+        let until = Instant::now() + TEST_TIMEOUT;
+        let ready = || TcpStream::connect(at).is_ok_and(|stream| Client(stream).try_ping());
         while !ready() {
             assert!(Instant::now() < until, "the router never served");
             std::thread::sleep(Duration::from_millis(20));
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -12,7 +12,10 @@
 use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
 use woadhook_router::stop::OperatorCommand;
-use woadhook_standins::cluster::{operator, revocation, ring, secret, tag, usual_accord, usual_pace};
+use woadhook_standins::cluster::{
+    cluster_id, default_accord_config, default_gossip_config, operator_key, revocation, secret_key,
+    trust_store,
+};
 use woadhook_standins::*;
 
 const NOBODY: MemberId = MemberId(0);
@@ -27,22 +30,33 @@
 
 /// A member's key with a pass that is good now.
 fn member(number: u64, name: &str, by: &SecretKey) -> Identity {
-    let secret = secret(number);
+    let secret = secret_key(number);
     let pass =
-        Pass::issue(by, name, secret.public(), tag(), before(60.0), now() + Span::from_secs(3600.0)).unwrap();
-    Identity::new(secret, pass, &TrustStore::new(tag(), vec![by.public()]), now()).unwrap()
+        Pass::issue(by, name, secret.public(), cluster_id(), before(60.0), now() + Span::from_secs(3600.0))
+            .unwrap();
+    Identity::new(secret, pass, &TrustStore::new(cluster_id(), vec![by.public()]), now()).unwrap()
 }
 
 /// A router that talks, with key 1, and where it listens.
-fn talking(engines: &[SocketAddr], seeds: Vec<SocketAddr>, number: u64) -> (Running, SocketAddr) {
+fn talking(engines: &[SocketAddr], seeds: Vec<SocketAddr>, number: u64) -> (RouterThread, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let keys =
-        Keys { identity: member(number, &format!("n{number}"), &operator()), ring: ring(), order: None };
-    let pace = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..usual_pace() };
-    let talk = GossipSetup { socket, keys, advertised_address: address, seeds, pace, accord: usual_accord() };
-    let told = told(engines, Events::default().serve().address, 1024);
-    (Running::talking(&told, Some(talk)), address)
+    let keys = Keys {
+        identity: member(number, &format!("n{number}"), &operator_key()),
+        ring: trust_store(),
+        order: None,
+    };
+    let pace = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..default_gossip_config() };
+    let talk = GossipSetup {
+        socket,
+        keys,
+        advertised_address: address,
+        seeds,
+        pace,
+        accord: default_accord_config(),
+    };
+    let told = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
+    (RouterThread::start_with_gossip(&told, Some(talk)), address)
 }
 
 /// A peer that says what it likes.
@@ -56,7 +70,7 @@
 impl Peer {
     fn new(own: Identity) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let incarnation = now().since(Moment::default()).micros() / 1000;
         Self { socket, own, incarnation, number: 0 }
     }
@@ -106,51 +120,51 @@
 
 #[test]
 fn a_forged_engine_dead_brings_no_probe_and_a_members_word_does() {
-    let engines = [0, 1].map(|_| Standin::start(|call| pages(call, &["a\tb\tc\n"])));
+    let engines = [0, 1].map(|_| StandinServer::start(|call| result_page(call, &["a\tb\tc\n"])));
     let (router, at) = talking(&engines.each_ref().map(|engine| engine.address), vec![], 1);
-    assert!(Client::new(&router).pings(1));
-    let mut stranger = Peer::new(member(3, "n3", &secret(99)));
+    assert!(Client::connect(&router).ping(1));
+    let mut stranger = Peer::new(member(3, "n3", &secret_key(99)));
     stranger.says(at, now(), "s-0", false);
-    let mut honest = Peer::new(member(2, "n2", &operator()));
+    let mut honest = Peer::new(member(2, "n2", &operator_key()));
     honest.says(at, before(86_400.0), "s-0", false);
     honest.says(at, now(), "s-0", true);
     honest.socket.send_to(b"engine s-0 is dead", at).unwrap();
     // What is good comes last, over the same socket: when it has worked, the others have been looked at.
     honest.says(at, now(), "s-1", false);
-    engines[1].awaits("GET /load ");
-    assert!(engines[0].had("GET /load ").is_empty());
+    engines[1].wait_for_call("GET /load ");
+    assert!(engines[0].received_calls("GET /load ").is_empty());
     // The job goes on as ever.
-    let mut client = Client::new(&router);
-    client.asks(1, "look", 20_000);
-    assert_eq!(client.hears(), (1, Ok("a\tb\tc\n".to_owned())));
+    let mut client = Client::connect(&router);
+    client.send_job(1, "look", 20_000);
+    assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
 fn what_one_router_suffers_the_other_hears_and_probes() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     // Nobody listens there: a job's dispatch fails to connect.
     let dead = SocketAddr::from(([127, 0, 0, 1], 1));
     let (first, at) = talking(&[dead], vec![], 1);
     let (second, _) = talking(&[engine.address], vec![at], 2);
-    assert!(Client::new(&second).pings(1));
+    assert!(Client::connect(&second).ping(1));
     // Both know "s-0", each at an address of its own. What is told before they have met is told again.
-    let mut client = Client::new(&first);
-    client.asks(1, "look", 2_000);
-    engine.awaits("GET /load ");
+    let mut client = Client::connect(&first);
+    client.send_job(1, "look", 2_000);
+    engine.wait_for_call("GET /load ");
 }
 
 #[test]
 fn a_revocation_that_is_read_again_puts_a_member_out_at_others_too() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let (router, at) = talking(&[engine.address], vec![], 1);
-    assert!(Client::new(&router).pings(1));
-    let mut honest = Peer::new(member(2, "n2", &operator()));
-    let mut list = ring();
+    assert!(Client::connect(&router).ping(1));
+    let mut honest = Peer::new(member(2, "n2", &operator_key()));
+    let mut list = trust_store();
     assert!(list.revoke(&revocation(7), now()));
-    let keys = Keys { identity: member(1, "n1", &operator()), ring: list, order: None };
-    router.orders.send_blocking(OperatorCommand::ReloadKeys(Ok(Box::new(keys)))).unwrap();
+    let keys = Keys { identity: member(1, "n1", &operator_key()), ring: list, order: None };
+    router.commands.send_blocking(OperatorCommand::ReloadKeys(Ok(Box::new(keys)))).unwrap();
     // A fault leaves what is in force.
-    router.orders.send_blocking(OperatorCommand::ReloadKeys(Err("site.jsonnet: bad".to_owned()))).unwrap();
+    router.commands.send_blocking(OperatorCommand::ReloadKeys(Err("site.jsonnet: bad".to_owned()))).unwrap();
     let mut revoked = false;
     for _ in 0..20 {
         honest.says(at, now(), "s-0", false);
@@ -160,10 +174,10 @@
         }
     }
     assert!(revoked, "it is told on");
-    let mut out = Peer::new(member(7, "n7", &operator()));
-    engine.had("GET");
+    let mut out = Peer::new(member(7, "n7", &operator_key()));
+    engine.received_calls("GET");
     out.says(at, now(), "s-0", false);
-    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
-    router.ends();
-    assert!(engine.had("GET /load ").len() <= 1, "only the honest member's word brought a probe");
+    router.commands.send_blocking(OperatorCommand::Stop).unwrap();
+    router.expect_clean_end();
+    assert!(engine.received_calls("GET /load ").len() <= 1, "only the honest member's word brought a probe");
 }
--- a/crates/router/tests/key_order.rs
+++ b/crates/router/tests/key_order.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use woadhook_standins::calls::{FirstCall, LastCall, nobody, of_job, post, told_but};
+use woadhook_standins::calls::{FirstCall, LastCall, is_for_job, is_post, modified_config, unused_address};
 use woadhook_standins::*;
 
 const ROWS: &str = "a\tb\tc\n";
@@ -20,50 +20,53 @@
     let wakes = Arc::new(AtomicBool::new(false));
     let awake = wakes.clone();
     // It takes a job, and says nothing more of it.
-    let hung = Standin::start(move |call| match () {
-        _ if call.line.starts_with("GET /load") => says(200, &[], ""),
-        _ if awake.load(Ordering::Relaxed) => pages(call, &[ROWS]),
-        _ => Says::Nothing,
+    let hung = StandinServer::start(move |call| match () {
+        _ if call.line.starts_with("GET /load") => response(200, &[], ""),
+        _ if awake.load(Ordering::Relaxed) => result_page(call, &[ROWS]),
+        _ => Response::NoResponse,
     });
-    let (well, told_wakes) = (Standin::start(|call| pages(call, &[ROWS])), wakes);
+    let (well, told_wakes) = (StandinServer::start(|call| result_page(call, &[ROWS])), wakes);
     // The engine that hangs comes first: the other stands in a dearer zone.
     let mut client = two_loads_of_one_key([&hung, &well], Duration::from_millis(50));
     // Its client hears at once that it failed; the key does not go on.
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    while hung.had("DELETE").is_empty() {
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    while hung.received_calls("DELETE").is_empty() {
         thread::yield_now();
     }
-    (0..3).for_each(|_| _ = hung.awaits("DELETE /v2/q/0000000000000001 "));
-    assert!(well.had("POST").is_empty());
+    (0..3).for_each(|_| _ = hung.wait_for_call("DELETE /v2/q/0000000000000001 "));
+    assert!(well.received_calls("POST").is_empty());
     told_wakes.store(true, Ordering::Relaxed);
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
 }
 
 /// A router before two engines, the second in a dearer zone, that keeps the order of loads with such a rest, and a client
 /// that asks for two loads of one key.
-fn two_loads_of_one_key(engines: [&Standin; 2], rest: Duration) -> Client {
-    two_loads_told_of(engines, rest, nobody(), Duration::from_secs(60))
+fn two_loads_of_one_key(engines: [&StandinServer; 2], rest: Duration) -> Client {
+    two_loads_told_of(engines, rest, unused_address(), Duration::from_secs(60))
 }
 
 /// The same with such a discovery, and a first load whose client waits so long.
 fn two_loads_told_of(
-    engines: [&Standin; 2], rest: Duration, discovery: SocketAddr, first_wait: Duration,
+    engines: [&StandinServer; 2], rest: Duration, discovery: SocketAddr, first_wait: Duration,
 ) -> Client {
-    let told = told_but(&[engines[0].address], discovery, |given| {
+    let told = modified_config(&[engines[0].address], discovery, |given| {
         let settings = &mut given["settings"];
         settings["obligations"]["turnGapUs"] = json!(rest.as_micros() as u64);
         settings["classes"][1]["keepOrder"] = json!(true);
         (settings["zones"], settings["prices"]) = (json!(["a", "b"]), json!({"crossZone": 0.1}));
-        let mut dearer = member("s-b", engines[1].address, "SERVING");
+        let mut dearer = roster_member("s-b", engines[1].address, "SERVING");
         dearer["locality"] = json!("b");
         given["known"]["items"][0]["roster"]["members"].as_array_mut().unwrap().push(dearer);
     });
-    let mut client = Client::new(&Running::with(&told));
+    let mut client = Client::connect(&RouterThread::start_with_config(&told));
     let first_wait = first_wait.as_millis().to_string();
     for (number, id, wait) in [(1, "0000000000000001", first_wait.as_str()), (2, "0000000000000002", "60000")]
     {
         let fields = [("id", id), ("wait", wait), ("cost", "10"), ("ram", "1"), ("key", "k")];
-        client.0.write_all(&Client::request(number, "load", &fields, "select 1 from sales_1.x")).unwrap();
+        client
+            .0
+            .write_all(&Client::encode_request(number, "load", &fields, "select 1 from sales_1.x"))
+            .unwrap();
     }
     client
 }
@@ -72,19 +75,19 @@
 fn the_order_of_a_key_waits_where_its_engine_closed_its_port_over_a_job_that_began() {
     let (began, next) = (FirstCall::default(), FirstCall::default());
     let (noted, noted_next) = (began.clone(), next.clone());
-    let dies = Standin::start(move |call| {
-        noted.note(post(call));
-        if post(call) { Says::Dies } else { says(200, &[], "") }
+    let dies = StandinServer::start(move |call| {
+        noted.record(is_post(call));
+        if is_post(call) { Response::EndProcess } else { response(200, &[], "") }
     });
-    let well = Standin::start(move |call| {
-        noted_next.note(post(call));
-        pages(call, &[ROWS])
+    let well = StandinServer::start(move |call| {
+        noted_next.record(is_post(call));
+        result_page(call, &[ROWS])
     });
     // It stays listed as well: the query may be held there for as long as its client would have waited.
     let wait = Duration::from_secs(5);
-    let mut client = two_loads_told_of([&dies, &well], Duration::from_millis(50), nobody(), wait);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    let mut client = two_loads_told_of([&dies, &well], Duration::from_millis(50), unused_address(), wait);
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(next.at() - began.at() >= wait, "{:?}", next.at() - began.at());
 }
 
@@ -94,27 +97,27 @@
 fn a_query_at_an_engine_that_closed_its_port_is_given_up_over_its_own_connection() {
     let (deleted, next) = (FirstCall::default(), FirstCall::default());
     let (noted, noted_next, noted_there) = (deleted.clone(), next.clone(), next.clone());
-    let none_yet = || says(202, &[], "");
-    let drains = Standin::start(move |call| {
-        noted.note(call.line.starts_with("DELETE"));
-        noted_there.note(post(call) && of_job(call, 2));
+    let none_yet = || response(202, &[], "");
+    let drains = StandinServer::start(move |call| {
+        noted.record(call.line.starts_with("DELETE"));
+        noted_there.record(is_post(call) && is_for_job(call, 2));
         match call.line.split(' ').next() {
-            Some("POST") if of_job(call, 1) => Says::ClosesPort(Box::new(none_yet())),
+            Some("POST") if is_for_job(call, 1) => Response::ClosePort(Box::new(none_yet())),
             Some("GET") if call.line.contains("0000000000000001") => {
-                Says::Late(Duration::from_millis(150), Box::new(none_yet()))
+                Response::Delayed(Duration::from_millis(150), Box::new(none_yet()))
             }
-            _ => pages(call, &[ROWS]),
+            _ => result_page(call, &[ROWS]),
         }
     });
-    let well = Standin::start(move |call| {
-        noted_next.note(post(call));
-        pages(call, &[ROWS])
+    let well = StandinServer::start(move |call| {
+        noted_next.record(is_post(call));
+        result_page(call, &[ROWS])
     });
     let mut client = two_loads_of_one_key([&drains, &well], Duration::from_millis(50));
-    drains.awaits("GET");
-    client.aborts(1);
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
-    drains.awaits("DELETE /v2/q/0000000000000001 ");
+    drains.wait_for_call("GET");
+    client.send_abort(1);
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
+    drains.wait_for_call("DELETE /v2/q/0000000000000001 ");
     assert!(deleted.at() < next.at(), "the first is given up before the next one goes out");
 }
 
@@ -126,27 +129,28 @@
     for client_goes in [false, true] {
         let (began, next) = (FirstCall::default(), FirstCall::default());
         let (noted, noted_next) = (began.clone(), next.clone());
-        let drains = Standin::start(move |call| {
-            noted.note(post(call));
-            let still_running = says(202, &[], "");
+        let drains = StandinServer::start(move |call| {
+            noted.record(is_post(call));
+            let still_running = response(202, &[], "");
             match call.line.split(' ').next() {
-                Some("POST") => Says::ClosesPort(Box::new(still_running)),
-                _ => Says::Late(Duration::from_millis(150), Box::new(Says::Cut)),
+                Some("POST") => Response::ClosePort(Box::new(still_running)),
+                _ => Response::Delayed(Duration::from_millis(150), Box::new(Response::CloseConnection)),
             }
         });
-        let well = Standin::start(move |call| {
-            noted_next.note(post(call));
-            pages(call, &[ROWS])
+        let well = StandinServer::start(move |call| {
+            noted_next.record(is_post(call));
+            result_page(call, &[ROWS])
         });
         let wait = Duration::from_secs(5);
-        let mut client = two_loads_told_of([&drains, &well], Duration::from_millis(50), nobody(), wait);
-        drains.awaits("GET");
+        let mut client =
+            two_loads_told_of([&drains, &well], Duration::from_millis(50), unused_address(), wait);
+        drains.wait_for_call("GET");
         if client_goes {
-            client.aborts(1);
+            client.send_abort(1);
         } else {
-            assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
+            assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
         }
-        assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+        assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
         let waited = next.at() - began.at();
         assert!(waited >= wait, "client goes: {client_goes}; {waited:?}");
     }
@@ -161,23 +165,23 @@
     for status in [404, 500] {
         let (asked, next) = (LastCall::default(), FirstCall::default());
         let (noted, noted_next) = (asked.clone(), next.clone());
-        let engine = Standin::start(move |call| {
-            let is_first = of_job(call, 1) || call.line.contains("0000000000000001");
-            noted.note(is_first && !call.line.starts_with("DELETE"));
-            noted_next.note(post(call) && !is_first);
+        let engine = StandinServer::start(move |call| {
+            let is_first = is_for_job(call, 1) || call.line.contains("0000000000000001");
+            noted.record(is_first && !call.line.starts_with("DELETE"));
+            noted_next.record(is_post(call) && !is_first);
             match call.line.split(' ').next() {
-                Some("DELETE") => says(status, &[], ""),
+                Some("DELETE") => response(status, &[], ""),
                 Some("GET") if is_first => {
-                    Says::Late(Duration::from_millis(150), Box::new(says(202, &[], "")))
+                    Response::Delayed(Duration::from_millis(150), Box::new(response(202, &[], "")))
                 }
-                _ if is_first => says(202, &[], ""),
-                _ => pages(call, &[ROWS]),
+                _ if is_first => response(202, &[], ""),
+                _ => result_page(call, &[ROWS]),
             }
         });
         let mut client = two_loads_of_one_key([&engine, &engine], Duration::from_millis(50));
-        engine.awaits("GET");
-        client.aborts(1);
-        assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+        engine.wait_for_call("GET");
+        client.send_abort(1);
+        assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
         let waited = next.at().saturating_duration_since(asked.at());
         assert!(waited >= UNASKED, "{status}: {waited:?}");
     }
@@ -190,27 +194,27 @@
     let (noted, noted_next) = (asked.clone(), next.clone());
     // The system frees a port that it chose itself once the listener is shut down.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let drains = Standin::on(listener, move |call| {
-        let still_running = || says(202, &[], "");
-        noted.note(!call.line.starts_with("DELETE") && !call.line.starts_with("GET /load"));
+    let drains = StandinServer::on_listener(listener, move |call| {
+        let still_running = || response(202, &[], "");
+        noted.record(!call.line.starts_with("DELETE") && !call.line.starts_with("GET /load"));
         match call.line.split(' ').next() {
-            Some("POST") => Says::ClosesPort(Box::new(still_running())),
-            _ => Says::Late(Duration::from_millis(150), Box::new(still_running())),
+            Some("POST") => Response::ClosePort(Box::new(still_running())),
+            _ => Response::Delayed(Duration::from_millis(150), Box::new(still_running())),
         }
     });
-    let well = Standin::start(move |call| {
-        noted_next.note(post(call));
-        pages(call, &[ROWS])
+    let well = StandinServer::start(move |call| {
+        noted_next.record(is_post(call));
+        result_page(call, &[ROWS])
     });
     let mut client = two_loads_of_one_key([&drains, &well], Duration::from_millis(50));
-    drains.awaits("GET /v2/q/0000000000000001/0");
+    drains.wait_for_call("GET /v2/q/0000000000000001/0");
     let listener = TcpListener::bind(drains.address).expect("the port is free");
-    let other = Standin::on(listener, |call| {
-        if post(call) { says(503, &["X-Declined: 1"], "") } else { says(404, &[], "") }
+    let other = StandinServer::on_listener(listener, |call| {
+        if is_post(call) { response(503, &["X-Declined: 1"], "") } else { response(404, &[], "") }
     });
-    client.aborts(1);
-    other.awaits("DELETE /v2/q/0000000000000001");
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    client.send_abort(1);
+    other.wait_for_call("DELETE /v2/q/0000000000000001");
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     let waited = next.at().saturating_duration_since(asked.at());
     assert!(waited >= UNASKED, "{waited:?}");
 }
@@ -233,40 +237,40 @@
         let (noted, noted_deleted, noted_next) = (asked.clone(), deleted.clone(), next.clone());
         // The system frees a port that it chose itself once the listener is shut down.
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let drains = Standin::on(listener, move |call| {
-            let still_running = || says(202, &[], "");
-            noted.note(post(call) || call.line.starts_with("GET /v2"));
-            noted_deleted.note(call.line.starts_with("DELETE"));
+        let drains = StandinServer::on_listener(listener, move |call| {
+            let still_running = || response(202, &[], "");
+            noted.record(is_post(call) || call.line.starts_with("GET /v2"));
+            noted_deleted.record(call.line.starts_with("DELETE"));
             match call.line.split(' ').next() {
-                Some("POST") => Says::ClosesPort(Box::new(still_running())),
-                Some("DELETE") => says(204, &[], ""),
-                _ if own == OwnConnection::FallsSilent => Says::Nothing,
-                _ => Says::Late(Duration::from_millis(150), Box::new(still_running())),
+                Some("POST") => Response::ClosePort(Box::new(still_running())),
+                Some("DELETE") => response(204, &[], ""),
+                _ if own == OwnConnection::FallsSilent => Response::NoResponse,
+                _ => Response::Delayed(Duration::from_millis(150), Box::new(still_running())),
             }
         });
-        let well = Standin::start(move |call| {
-            noted_next.note(post(call));
-            pages(call, &[ROWS])
+        let well = StandinServer::start(move |call| {
+            noted_next.record(is_post(call));
+            result_page(call, &[ROWS])
         });
         let mut client = two_loads_of_one_key([&drains, &well], Duration::from_millis(50));
-        drains.awaits("GET /v2/q/0000000000000001/0");
+        drains.wait_for_call("GET /v2/q/0000000000000001/0");
         let listener = TcpListener::bind(drains.address).expect("the port is free");
-        let other = Standin::on(listener, |call| match call.line.split(' ').next() {
-            Some("POST") => says(503, &["X-Declined: 1"], ""),
-            Some("DELETE") => says(204, &[], ""),
-            _ => says(500, &[], ""),
+        let other = StandinServer::on_listener(listener, |call| match call.line.split(' ').next() {
+            Some("POST") => response(503, &["X-Declined: 1"], ""),
+            Some("DELETE") => response(204, &[], ""),
+            _ => response(500, &[], ""),
         });
         match own {
-            OwnConnection::StaysUp => client.aborts(1),
+            OwnConnection::StaysUp => client.send_abort(1),
             OwnConnection::IsReset => {
-                drains.dies();
-                client.aborts(1);
+                drains.end_process();
+                client.send_abort(1);
             }
-            OwnConnection::FallsSilent => _ = other.awaits("GET /v2/q/0000000000000001/0"),
+            OwnConnection::FallsSilent => _ = other.wait_for_call("GET /v2/q/0000000000000001/0"),
         }
-        while client.hears().0 != 2 {}
+        while client.receive().0 != 2 {}
         let expired = asked.at() + UNASKED;
-        let over = deleted.or_before(expired);
+        let over = deleted.at_or_before(expired);
         early.extend((next.at() < over).then(|| (own, over - next.at())));
     }
     assert!(early.is_empty(), "the next query came too early: {early:?}");
@@ -295,23 +299,23 @@
 fn from_abort_to_next(behind_a_call: Duration) -> Duration {
     let (asked, next) = (LastCall::default(), FirstCall::default());
     let (noted, noted_next) = (asked.clone(), next.clone());
-    let engine = Standin::start(move |call| {
-        let is_first = of_job(call, 1) || call.line.contains("0000000000000001");
-        noted.note(is_first && !call.line.starts_with("DELETE"));
-        noted_next.note(post(call) && !is_first);
+    let engine = StandinServer::start(move |call| {
+        let is_first = is_for_job(call, 1) || call.line.contains("0000000000000001");
+        noted.record(is_first && !call.line.starts_with("DELETE"));
+        noted_next.record(is_post(call) && !is_first);
         match call.line.split(' ').next() {
-            Some("DELETE") => says(204, &[], ""),
-            Some("GET") if is_first => Says::Late(NEWS, Box::new(says(202, &[], ""))),
-            _ if is_first => says(202, &[], ""),
-            _ => pages(call, &[ROWS]),
+            Some("DELETE") => response(204, &[], ""),
+            Some("GET") if is_first => Response::Delayed(NEWS, Box::new(response(202, &[], ""))),
+            _ if is_first => response(202, &[], ""),
+            _ => result_page(call, &[ROWS]),
         }
     });
     let mut client = two_loads_of_one_key([&engine, &engine], Duration::from_millis(50));
-    engine.awaits("GET /v2/q/0000000000000001/0");
+    engine.wait_for_call("GET /v2/q/0000000000000001/0");
     thread::sleep(behind_a_call);
     let left = Instant::now();
-    client.aborts(1);
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    client.send_abort(1);
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(next.at() < asked.at() + UNASKED, "it waited for an expiry: {:?}", next.at() - asked.at());
     next.at() - left
 }
@@ -325,27 +329,27 @@
     let (asked, next) = (LastCall::default(), FirstCall::default());
     let (noted, noted_next) = (asked.clone(), next.clone());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let drains = Standin::on(listener, move |call| {
-        noted.note(post(call) || call.line.starts_with("GET /v2"));
-        let still_running = says(202, &[], "");
+    let drains = StandinServer::on_listener(listener, move |call| {
+        noted.record(is_post(call) || call.line.starts_with("GET /v2"));
+        let still_running = response(202, &[], "");
         match call.line.split(' ').next() {
-            Some("POST") => Says::ClosesPort(Box::new(still_running)),
-            _ => Says::Late(Duration::from_millis(150), Box::new(Says::Cut)),
+            Some("POST") => Response::ClosePort(Box::new(still_running)),
+            _ => Response::Delayed(Duration::from_millis(150), Box::new(Response::CloseConnection)),
         }
     });
-    let well = Standin::start(move |call| {
-        noted_next.note(post(call));
-        pages(call, &[ROWS])
+    let well = StandinServer::start(move |call| {
+        noted_next.record(is_post(call));
+        result_page(call, &[ROWS])
     });
-    let mut client = two_loads_told_of([&drains, &well], Duration::from_millis(50), nobody(), wait);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
+    let mut client = two_loads_told_of([&drains, &well], Duration::from_millis(50), unused_address(), wait);
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     thread::sleep(TAKEN_AFTER);
     let listener = TcpListener::bind(drains.address).expect("the port is free");
-    let other = Standin::on(listener, |call| {
-        if post(call) { says(503, &["X-Declined: 1"], "") } else { says(404, &[], "") }
+    let other = StandinServer::on_listener(listener, |call| {
+        if is_post(call) { response(503, &["X-Declined: 1"], "") } else { response(404, &[], "") }
     });
-    other.awaits("DELETE /v2/q/0000000000000001 ");
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    other.wait_for_call("DELETE /v2/q/0000000000000001 ");
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     let waited = next.at() - asked.at();
     assert!(waited >= UNASKED && waited < wait, "{waited:?}");
 }
@@ -359,34 +363,37 @@
     let posts = Arc::new(AtomicUsize::new(0));
     let given_up: Arc<Mutex<Vec<Duration>>> = Arc::default();
     let (counted, noted, mut latest) = (posts.clone(), given_up.clone(), Instant::now());
-    let engine = Standin::start(move |call| match call.line.split(' ').next() {
+    let engine = StandinServer::start(move |call| match call.line.split(' ').next() {
         Some("POST") => {
             counted.fetch_add(1, Ordering::SeqCst);
             latest = Instant::now();
-            says(202, &[], "")
+            response(202, &[], "")
         }
         Some("DELETE") => {
             noted.lock().unwrap().push(latest.elapsed());
-            says(204, &[], "")
+            response(204, &[], "")
         }
         Some("GET") if call.line.starts_with("GET /v2") && counted.load(Ordering::SeqCst) == 1 => {
-            Says::Late(NEWS, Box::new(says(202, &[], "")))
+            Response::Delayed(NEWS, Box::new(response(202, &[], "")))
         }
         // The second query takes longer than the call for news under which the first one was given up.
-        _ if call.line.starts_with("GET /v2") => Says::Late(2 * NEWS, Box::new(pages(call, &[ROWS]))),
-        _ => pages(call, &[ROWS]),
+        _ if call.line.starts_with("GET /v2") => {
+            Response::Delayed(2 * NEWS, Box::new(result_page(call, &[ROWS])))
+        }
+        _ => result_page(call, &[ROWS]),
     });
-    let router = Running::with(&told_but(&[engine.address], nobody(), |given| {
-        let class = &mut given["settings"]["classes"][1];
-        (class["keepOrder"], class["effect"]) = (json!(true), json!("repeatable"));
-        class["goalTimeUs"] = json!(TIME_OUT.as_micros() as u64);
-        // Its dispatches have a time-out of their own, behind which it goes again.
-        given["settings"]["limits"]["cancelling"] = json!(false);
-    }));
-    let mut client = Client::new(&router);
+    let router =
+        RouterThread::start_with_config(&modified_config(&[engine.address], unused_address(), |given| {
+            let class = &mut given["settings"]["classes"][1];
+            (class["keepOrder"], class["effect"]) = (json!(true), json!("repeatable"));
+            class["goalTimeUs"] = json!(TIME_OUT.as_micros() as u64);
+            // Its dispatches have a time-out of their own, behind which it goes again.
+            given["settings"]["limits"]["cancelling"] = json!(false);
+        }));
+    let mut client = Client::connect(&router);
     let fields = [("id", "0000000000000001"), ("wait", "10000"), ("cost", "10"), ("ram", "1"), ("key", "k")];
-    client.0.write_all(&Client::request(1, "load", &fields, "select 1 from sales_1.x")).unwrap();
-    assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())));
+    client.0.write_all(&Client::encode_request(1, "load", &fields, "select 1 from sales_1.x")).unwrap();
+    assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())));
     assert!(posts.load(Ordering::SeqCst) >= 2, "it was sent again");
     let given_up = given_up.lock().unwrap();
     assert!(
@@ -400,20 +407,23 @@
 fn the_order_of_a_key_goes_on_behind_the_word_that_its_engine_is_gone() {
     let next = FirstCall::default();
     let noted = next.clone();
-    let dies = Standin::start(|call| if post(call) { Says::Dies } else { says(200, &[], "") });
-    let well = Standin::start(move |call| {
-        noted.note(post(call));
-        pages(call, &[ROWS])
+    let dies =
+        StandinServer::start(
+            |call| if is_post(call) { Response::EndProcess } else { response(200, &[], "") },
+        );
+    let well = StandinServer::start(move |call| {
+        noted.record(is_post(call));
+        result_page(call, &[ROWS])
     });
-    let (events, rest) = (Events::default(), Duration::from_millis(50));
+    let (events, rest) = (DiscoveryEvents::default(), Duration::from_millis(50));
     let (discovery, wait) = (events.serve(), Duration::from_secs(60));
     let mut client = two_loads_told_of([&dies, &well], rest, discovery.address, wait);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     // Longer than a query lives that nobody asks for.
     thread::sleep(Duration::from_millis(2_500));
     let told = Instant::now();
-    events.add(2, vec![member("s-0", dies.address, "DELETED")]);
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    events.add(2, vec![roster_member("s-0", dies.address, "DELETED")]);
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     let waited = next.at().saturating_duration_since(told);
     assert!(waited >= Duration::from_secs(2), "{waited:?} after the word");
 }
@@ -421,10 +431,13 @@
 /// Where nothing accepts for a moment, what runs there goes on: here at an engine that hangs once it accepts again.
 #[test]
 fn the_order_of_a_key_waits_where_its_engine_refuses_for_a_moment_and_accepts_again() {
-    let refuses = Standin::start(|call| if post(call) { Says::Dies } else { says(200, &[], "") });
-    let well = Standin::start(|call| pages(call, &[ROWS]));
+    let refuses =
+        StandinServer::start(
+            |call| if is_post(call) { Response::EndProcess } else { response(200, &[], "") },
+        );
+    let well = StandinServer::start(|call| result_page(call, &[ROWS]));
     let mut client = two_loads_of_one_key([&refuses, &well], Duration::from_millis(50));
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     let listener = loop {
         match TcpListener::bind(refuses.address) {
             Ok(listener) => break listener,
@@ -433,17 +446,13 @@
     };
     let wakes: Arc<AtomicBool> = Arc::default();
     let told_wakes = wakes.clone();
-    let again =
-        Standin::on(
-            listener,
-            move |_| {
-                if wakes.load(Ordering::Relaxed) { says(204, &[], "") } else { Says::Nothing }
-            },
-        );
-    (0..12).for_each(|_| _ = again.awaits("DELETE /v2/q/0000000000000001 "));
-    assert!(well.had("POST").is_empty());
+    let again = StandinServer::on_listener(listener, move |_| {
+        if wakes.load(Ordering::Relaxed) { response(204, &[], "") } else { Response::NoResponse }
+    });
+    (0..12).for_each(|_| _ = again.wait_for_call("DELETE /v2/q/0000000000000001 "));
+    assert!(well.received_calls("POST").is_empty());
     told_wakes.store(true, Ordering::Relaxed);
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
 }
 
 /// A process that was started anew in place of the one that had the job says that it knows nothing of it.
@@ -451,18 +460,18 @@
 fn the_order_of_a_key_waits_where_its_engine_came_back_without_a_job_that_began() {
     let (began, next) = (FirstCall::default(), FirstCall::default());
     let (noted, noted_next) = (began.clone(), next.clone());
-    let engine = Standin::start(move |call| {
-        noted.note(post(call) && of_job(call, 1));
-        noted_next.note(post(call) && of_job(call, 2));
+    let engine = StandinServer::start(move |call| {
+        noted.record(is_post(call) && is_for_job(call, 1));
+        noted_next.record(is_post(call) && is_for_job(call, 2));
         match call.line.split(' ').next() {
-            Some("POST") if of_job(call, 1) => Says::Cut,
-            Some("GET") if call.line.contains("0000000000000001") => says(500, &[], ""),
-            _ => pages(call, &[ROWS]),
+            Some("POST") if is_for_job(call, 1) => Response::CloseConnection,
+            Some("GET") if call.line.contains("0000000000000001") => response(500, &[], ""),
+            _ => result_page(call, &[ROWS]),
         }
     });
     let mut client = two_loads_of_one_key([&engine, &engine], Duration::from_millis(50));
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(next.at() - began.at() >= Duration::from_secs(2), "{:?}", next.at() - began.at());
 }
 
@@ -472,17 +481,17 @@
     let (deleted, next) = (FirstCall::default(), FirstCall::default());
     let (noted, noted_next) = (deleted.clone(), next.clone());
     // Its answer to the POST makes no sense, and it does not know the query: the POST may still be on its way in.
-    let engine = Standin::start(move |call| {
-        noted.note(call.line.starts_with("DELETE"));
-        noted_next.note(post(call) && of_job(call, 2));
+    let engine = StandinServer::start(move |call| {
+        noted.record(call.line.starts_with("DELETE"));
+        noted_next.record(is_post(call) && is_for_job(call, 2));
         match call.line.split(' ').next() {
-            Some("POST") if of_job(call, 1) => Says::Noise("no answer\r\n\r\n".to_owned()),
-            Some("GET") if call.line.contains("0000000000000001") => says(500, &[], ""),
-            _ => pages(call, &[ROWS]),
+            Some("POST") if is_for_job(call, 1) => Response::RawKeepOpen("no answer\r\n\r\n".to_owned()),
+            Some("GET") if call.line.contains("0000000000000001") => response(500, &[], ""),
+            _ => result_page(call, &[ROWS]),
         }
     });
     let mut client = two_loads_of_one_key([&engine, &engine], GAP);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    assert_eq!(client.hears(), (2, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(next.at() - deleted.at() >= GAP, "{:?}", next.at() - deleted.at());
 }
--- a/crates/router/tests/panics.rs
+++ b/crates/router/tests/panics.rs
@@ -79,36 +79,36 @@
     let runs_beside = Arc::new(AtomicBool::new(false));
     let beside = runs_beside.clone();
     let (mut deletes, mut given_up) = (0, false);
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         let of_first = call.line.contains("0000000000000001");
         let first = call.fields.contains(&"X-Trace: 0000000000000001".to_owned());
         match call.line.split(' ').next() {
-            Some("POST") if first => says(202, &[], ""),
-            Some("GET") if of_first => Says::Cut,
+            Some("POST") if first => response(202, &[], ""),
+            Some("GET") if of_first => Response::CloseConnection,
             Some("DELETE") if of_first => {
                 deletes += 1;
                 // The first call that gives it up breaks, so that its task tells of it.
                 given_up = deletes > 1;
-                if given_up { says(204, &[], "") } else { Says::Cut }
+                if given_up { response(204, &[], "") } else { Response::CloseConnection }
             }
             _ => {
                 if call.line.starts_with("POST") && !given_up {
                     beside.store(true, Ordering::SeqCst);
                 }
-                pages(call, &[ROWS])
+                result_page(call, &[ROWS])
             }
         }
     });
-    let mut told: Value = serde_json::from_str(&told(&[engine.address], nobody(), 1024)).unwrap();
+    let mut told: Value = serde_json::from_str(&router_config(&[engine.address], nobody(), 1024)).unwrap();
     told["settings"]["obligations"]["turnGapUs"] = json!(GAP.as_micros() as u64);
     told["settings"]["classes"][1]["keepOrder"] = json!(true);
-    let router = Running::with(&told.to_string());
-    let mut client = Client::new(&router);
+    let router = RouterThread::start_with_config(&told.to_string());
+    let mut client = Client::connect(&router);
     panic_at(panics_at);
     (1..=2).for_each(|number| ask_for_load(&mut client, number));
-    let answers = [client.hears(), client.hears()];
+    let answers = [client.receive(), client.receive()];
     assert!(LOGGER.has_panicked.load(Ordering::SeqCst), "no line began with {panics_at}");
-    assert!(client.pings(9), "it serves on, and no second answer came");
+    assert!(client.ping(9), "it serves on, and no second answer came");
     Outcome { runs_beside: runs_beside.load(Ordering::SeqCst), answers }
 }
 
@@ -131,13 +131,13 @@
 fn ask_for_load(client: &mut Client, number: u32) {
     let id = format!("{number:016x}");
     let fields = [("id", id.as_str()), ("wait", "15000"), ("cost", "10"), ("ram", "1"), ("key", "k")];
-    let message = Client::request(number, "load", &fields, "select 1 from sales_1.x");
+    let message = Client::encode_request(number, "load", &fields, "select 1 from sales_1.x");
     std::io::Write::write_all(&mut client.0, &message).unwrap();
 }
 
 /// Waits until one more key is told to be in doubt.
 fn await_doubt(before: usize) {
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TEST_TIMEOUT;
     while LOGGER.doubts.load(Ordering::SeqCst) == before {
         assert!(Instant::now() < by, "no key is in doubt");
         thread::sleep(Duration::from_millis(5));
@@ -161,43 +161,44 @@
     for first in [First::Out, First::InDoubt] {
         let (runs_beside, given_up) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let (beside, may_end) = (runs_beside.clone(), given_up.clone());
-        let engine = Standin::start(move |call| {
+        let engine = StandinServer::start(move |call| {
             let is_first = call.line.contains("0000000000000001")
                 || call.fields.contains(&"X-Trace: 0000000000000001".to_owned());
             match call.line.split(' ').next() {
-                Some("POST") if is_first => says(202, &[], ""),
+                Some("POST") if is_first => response(202, &[], ""),
                 Some("GET") if is_first => {
-                    Says::Late(Duration::from_millis(100), Box::new(says(202, &[], "")))
+                    Response::Delayed(Duration::from_millis(100), Box::new(response(202, &[], "")))
                 }
-                Some("DELETE") if !may_end.load(Ordering::SeqCst) => Says::Cut,
+                Some("DELETE") if !may_end.load(Ordering::SeqCst) => Response::CloseConnection,
                 _ => {
                     let is_early = call.line.starts_with("POST") && !may_end.load(Ordering::SeqCst);
                     beside.fetch_or(is_early, Ordering::SeqCst);
-                    pages(call, &[ROWS])
+                    result_page(call, &[ROWS])
                 }
             }
         });
-        let mut told: Value = serde_json::from_str(&told(&[engine.address], nobody(), 1024)).unwrap();
+        let mut told: Value =
+            serde_json::from_str(&router_config(&[engine.address], nobody(), 1024)).unwrap();
         told["settings"]["obligations"]["turnGapUs"] = json!(GAP.as_micros() as u64);
         told["settings"]["classes"][1]["keepOrder"] = json!(true);
-        let router = Running::with(&told.to_string());
-        let mut client = Client::new(&router);
+        let router = RouterThread::start_with_config(&told.to_string());
+        let mut client = Client::connect(&router);
         ask_for_load(&mut client, 1);
-        engine.awaits("GET");
+        engine.wait_for_call("GET");
         if first == First::InDoubt {
             let before = LOGGER.doubts.load(Ordering::SeqCst);
-            client.aborts(1);
+            client.send_abort(1);
             await_doubt(before);
         }
         panic_at("job taken");
         ask_for_load(&mut client, 2);
-        engine.awaits("DELETE");
+        engine.wait_for_call("DELETE");
         ask_for_load(&mut client, 3);
         // Several tries to give the first one up; the third load has had its chance to go out by then.
-        (0..5).for_each(|_| _ = engine.awaits("DELETE"));
+        (0..5).for_each(|_| _ = engine.wait_for_call("DELETE"));
         given_up.store(true, Ordering::SeqCst);
         let owed = if first == First::Out { 3 } else { 2 };
-        let mut answers: Vec<Answer> = (0..owed).map(|_| client.hears()).collect();
+        let mut answers: Vec<Answer> = (0..owed).map(|_| client.receive()).collect();
         answers.sort_by_key(|(number, _)| *number);
         let failed = |number| (number, Err("Internal".to_owned()));
         let expected = [failed(1), failed(2), (3, Ok(ROWS.to_owned()))];
--- a/crates/router/tests/processes.rs
+++ b/crates/router/tests/processes.rs
@@ -13,8 +13,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use woadhook_standins::processes::Process;
-use woadhook_standins::{Events, LONG, told};
+use woadhook_standins::processes::RouterProcess;
+use woadhook_standins::{DiscoveryEvents, TEST_TIMEOUT, router_config};
 
 /// Set where this program plays the test that is killed.
 const FOLDER: &str = "WOADHOOK_TEST_TO_BE_KILLED";
@@ -32,7 +32,7 @@
     assert!(Path::new(&process).exists());
     test.kill().unwrap();
     test.wait().unwrap();
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TEST_TIMEOUT;
     while fs::read_to_string(format!("{process}/stat")).is_ok_and(|stat| !stat.contains(") Z ")) {
         assert!(Instant::now() < by, "the process goes on");
         thread::sleep(Duration::from_millis(10));
@@ -43,19 +43,19 @@
 #[ignore = "is started and killed by the test above"]
 fn a_test_that_is_killed() {
     let folder = env::var_os(FOLDER).expect("started by the test above");
-    let told = told(&[], Events::default().serve().address, 64);
-    let process = Process::start(env!("CARGO_BIN_EXE_woadhook"), Path::new(&folder), "n0", &told);
-    process.ready();
+    let told = router_config(&[], DiscoveryEvents::default().serve().address, 64);
+    let process = RouterProcess::start(env!("CARGO_BIN_EXE_woadhook"), Path::new(&folder), "n0", &told);
+    process.wait_until_ready();
     println!("process {}", process.id().unwrap());
-    thread::sleep(LONG + LONG);
+    thread::sleep(TEST_TIMEOUT + TEST_TIMEOUT);
 }
 
 #[test]
 fn a_discovery_stand_in_goes_on_behind_a_call_that_is_meant_for_another() {
-    let discovery = Events::default().serve();
+    let discovery = DiscoveryEvents::default().serve();
     let asks = |path: &str| {
         let mut stream = TcpStream::connect(discovery.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         write!(stream, "GET {path} HTTP/1.1\r\n\r\n").unwrap();
         let mut answer = [0; 12];
         stream.read_exact(&mut answer).map(|()| String::from_utf8_lossy(&answer).into_owned())
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -10,12 +10,12 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
-use woadhook_standins::clients::hear;
+use woadhook_standins::clients::receive_answer;
 use woadhook_standins::folders;
-use woadhook_standins::{Client, Events, LONG, Standin, pages, told};
+use woadhook_standins::{Client, DiscoveryEvents, StandinServer, TEST_TIMEOUT, result_page, router_config};
 
 fn folder(story: &str) -> PathBuf {
-    let folder = folders::own(env!("CARGO_TARGET_TMPDIR"), &format!("program-{story}"));
+    let folder = folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("program-{story}"));
     fs::create_dir_all(&folder).unwrap();
     folder
 }
@@ -81,7 +81,7 @@
     {
         assert!(words.contains(line), "{line} in {words}");
     }
-    let told = told(&[], Events::default().serve().address, 1024);
+    let told = router_config(&[], DiscoveryEvents::default().serve().address, 1024);
     fs::write(folder.join("config.json"), &told).unwrap();
     assert!(said(&folder, &["check", "--config", "config.json"]).unwrap().contains("sockets = 1024"));
     fs::write(folder.join("config.json"), told.replace("\"seed\"", "\"seeds\"")).unwrap();
@@ -165,7 +165,7 @@
 
 impl Started {
     fn new(folder: &Path, words: &[&str]) -> Self {
-        let told = told(&[], Events::default().serve().address, 1024);
+        let told = router_config(&[], DiscoveryEvents::default().serve().address, 1024);
         fs::write(folder.join("config.json"), told).unwrap();
         let mut child =
             woadhook(folder, words).env("LB_CONFIG", "config.json").stderr(Stdio::piped()).spawn().unwrap();
@@ -278,7 +278,7 @@
     let folder = folder("early-order");
     let (operator, config) = (folder.join("site.jsonnet"), folder.join("config.json"));
     assert!(Command::new("mkfifo").arg(&operator).status().unwrap().success());
-    fs::write(&config, told(&[], Events::default().serve().address, 64)).unwrap();
+    fs::write(&config, router_config(&[], DiscoveryEvents::default().serve().address, 64)).unwrap();
     let mut command = woadhook(&folder, &["run", "--operator", "site.jsonnet"]);
     let mut child = command.env("LB_CONFIG", &config).stderr(Stdio::piped()).spawn().unwrap();
     // Opened once the program is at reading it.
@@ -299,12 +299,15 @@
 fn a_log_that_nobody_reads_holds_up_no_request() {
     const REQUESTS: u32 = 600;
     let folder = folder("unread-log");
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    fs::write(folder.join("config.json"), told(&[engine.address], Events::default().serve().address, 64))
-        .unwrap();
+    fs::write(
+        folder.join("config.json"),
+        router_config(&[engine.address], DiscoveryEvents::default().serve().address, 64),
+    )
+    .unwrap();
     let mut command = woadhook(&folder, &[]);
     command.env("LB_CONFIG", folder.join("config.json")).env("LB_LISTEN", address.to_string());
     let mut child = command.env("RUST_LOG", "debug").stderr(Stdio::piped()).spawn().unwrap();
@@ -316,7 +319,7 @@
 
 /// How many of so many requests were answered, each within five seconds.
 fn asks_one_after_another(address: SocketAddr, requests: u32) -> u32 {
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TEST_TIMEOUT;
     let mut stream = loop {
         match TcpStream::connect(address) {
             Ok(stream) => break stream,
@@ -326,9 +329,9 @@
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     for number in 1..=requests {
         let message =
-            Client::message(number, "look", &format!("{number:016x}"), 4_000, "select 1 from sales_1.x");
-        let answered =
-            std::io::Write::write_all(&mut stream, &message).and_then(|()| hear(&mut stream, number));
+            Client::encode_job(number, "look", &format!("{number:016x}"), 4_000, "select 1 from sales_1.x");
+        let answered = std::io::Write::write_all(&mut stream, &message)
+            .and_then(|()| receive_answer(&mut stream, number));
         if answered.is_err() {
             return number - 1;
         }
--- a/crates/router/tests/slow.rs
+++ b/crates/router/tests/slow.rs
@@ -12,10 +12,14 @@
 const ROWS: &str = "a\tb\tc\n";
 
 /// A router that bears little.
-fn strict(engines: &[std::net::SocketAddr]) -> Running {
-    let told = told(engines, Events::default().serve().address, 1024);
+fn strict(engines: &[std::net::SocketAddr]) -> RouterThread {
+    let told = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
     let sheet = r#"{"pace": {"client_sends_bytes_per_s": 60, "client_grace_ms": 300, "client_takes_bytes_per_s": 100000}}"#;
-    Running::set(&told, None, OperatorFile::parse(sheet, Path::new("strict")).unwrap())
+    RouterThread::start_with_operator_file(
+        &told,
+        None,
+        OperatorFile::parse(sheet, Path::new("strict")).unwrap(),
+    )
 }
 
 /// Writes a message a byte at a time; how long it took until that was refused, or nothing if all was taken.
@@ -32,16 +36,16 @@
 
 #[test]
 fn a_request_that_trickles_in_just_above_the_rate_is_served_and_just_below_is_dropped() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let router = strict(&[engine.address]);
-    let message = Client::message(1, "look", "9b1f03aa5c7e2d41", 20_000, "select 1 from a_1.x");
+    let message = Client::encode_job(1, "look", "9b1f03aa5c7e2d41", 20_000, "select 1 from a_1.x");
     let (above, below) = (Duration::from_millis(10), Duration::from_millis(60));
-    let mut client = Client::new(&router);
-    assert!(client.pings(9));
+    let mut client = Client::connect(&router);
+    assert!(client.ping(9));
     assert_eq!(trickles(&mut client, &message, above), None);
-    assert_eq!(client.hears(), (1, Ok(ROWS.to_owned())));
-    let mut slow = Client::new(&router);
-    assert!(slow.pings(9));
+    assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())));
+    let mut slow = Client::connect(&router);
+    assert!(slow.ping(9));
     let dropped = trickles(&mut slow, &message, below).expect("dropped before its last byte");
     assert!(
         dropped < Duration::from_millis(1_400),
@@ -51,17 +55,17 @@
 
 #[test]
 fn hundreds_that_trickle_keep_no_usual_client_out() {
-    let engine = Standin::start(|call| pages(call, &[ROWS]));
+    let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     let router = strict(&[engine.address]);
-    let message = Client::message(1, "look", "9b1f03aa5c7e2d41", 20_000, "select 1 from a_1.x");
-    let mut slow: Vec<Client> = (0..400).map(|_| Client::new(&router)).collect();
+    let message = Client::encode_job(1, "look", "9b1f03aa5c7e2d41", 20_000, "select 1 from a_1.x");
+    let mut slow: Vec<Client> = (0..400).map(|_| Client::connect(&router)).collect();
     for (number, client) in slow.iter_mut().enumerate() {
         let _ = client.0.write_all(&message[..1 + number % 20]);
     }
     for number in 1..=20 {
-        let mut usual = Client::new(&router);
-        usual.asks(number, "look", 20_000);
-        assert_eq!(usual.hears(), (number, Ok(ROWS.to_owned())));
+        let mut usual = Client::connect(&router);
+        usual.send_job(number, "look", 20_000);
+        assert_eq!(usual.receive(), (number, Ok(ROWS.to_owned())));
     }
     assert!(slow.iter_mut().all(Client::is_closed));
 }
@@ -70,21 +74,21 @@
 fn answers_that_nobody_takes_cost_the_connection_and_stop_ends_in_time() {
     let row = format!("{}\tb\tc\n", "x".repeat(5_900));
     let page: &'static str = row.leak();
-    let engine = Standin::start(move |call| pages(call, &[page; 8]));
+    let engine = StandinServer::start(move |call| result_page(call, &[page; 8]));
     let router = strict(&[engine.address]);
-    let mut greedy = Client::narrow(&router);
+    let mut greedy = Client::with_small_receive_buffer(&router);
     for round in 0..4 {
         for number in 1..=30 {
-            greedy.asks(round * 30 + number, "look", 20_000);
+            greedy.send_job(round * 30 + number, "look", 20_000);
         }
         thread::sleep(Duration::from_millis(150));
     }
-    let mut usual = Client::new(&router);
-    usual.asks(1, "look", 20_000);
-    assert!(usual.hears().1.is_ok());
+    let mut usual = Client::connect(&router);
+    usual.send_job(1, "look", 20_000);
+    assert!(usual.receive().1.is_ok());
     // Whole answers up to some point, then the end: the client can tell.
-    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
-    router.ends();
+    router.commands.send_blocking(OperatorCommand::Stop).unwrap();
+    router.expect_clean_end();
     assert!(greedy.is_closed());
 }
 
@@ -92,16 +96,22 @@
 fn a_page_at_a_crawl_is_asked_for_again_on_a_new_connection_and_nothing_runs_twice() {
     let long: &'static str = ROWS.repeat(200).leak();
     let mut first = true;
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         if call.line.contains("/1 ") && std::mem::take(&mut first) {
-            return Says::Slow(200, vec!["X-Batch: 1".to_owned()], long.into(), 4, Duration::from_millis(40));
+            return Response::InPieces(
+                200,
+                vec!["X-Batch: 1".to_owned()],
+                long.into(),
+                4,
+                Duration::from_millis(40),
+            );
         }
-        pages(call, &[long, long])
+        result_page(call, &[long, long])
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 20_000);
-    assert_eq!(client.hears(), (1, Ok(long.repeat(2))));
-    let calls = engine.had("");
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 20_000);
+    assert_eq!(client.receive(), (1, Ok(long.repeat(2))));
+    let calls = engine.received_calls("");
     let of = |start: &str| calls.iter().filter(|call| call.line.starts_with(start)).collect::<Vec<_>>();
     assert_eq!(of("POST").len(), 1);
     let asked = of("GET /v2/q/0000000000000001/1 ");
@@ -112,43 +122,47 @@
 #[test]
 fn where_all_engines_crawl_a_result_comes_as_it_comes() {
     let long: &'static str = ROWS.repeat(300).leak();
-    let engine = Standin::start(move |call| match call.line.split(' ').next() {
-        Some("POST") => says(202, &[], ""),
-        Some("GET") if call.line.contains("/1 ") => {
-            Says::Slow(200, vec!["X-Batch: 1".to_owned()], long.into(), 120, Duration::from_millis(90))
-        }
-        _ => pages(call, &[long, long]),
+    let engine = StandinServer::start(move |call| match call.line.split(' ').next() {
+        Some("POST") => response(202, &[], ""),
+        Some("GET") if call.line.contains("/1 ") => Response::InPieces(
+            200,
+            vec!["X-Batch: 1".to_owned()],
+            long.into(),
+            120,
+            Duration::from_millis(90),
+        ),
+        _ => result_page(call, &[long, long]),
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 30_000);
-    assert_eq!(client.hears(), (1, Ok(long.repeat(2))));
-    assert_eq!(engine.had("POST").len(), 1);
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 30_000);
+    assert_eq!(client.receive(), (1, Ok(long.repeat(2))));
+    assert_eq!(engine.received_calls("POST").len(), 1);
 }
 
 #[test]
 fn a_head_that_crawls_or_a_last_byte_that_never_comes_is_asked_for_again() {
     for (piece, held) in [(1, 0), (400, 1)] {
         let mut first = true;
-        let engine = Standin::start(move |call| {
+        let engine = StandinServer::start(move |call| {
             if call.line.contains("/1 ") && std::mem::take(&mut first) {
                 let mut body = ROWS.as_bytes().to_vec();
                 body.truncate(body.len() - held);
                 // The head tells the whole length; the last byte stays away.
                 let fields = vec!["X-Batch: 1".to_owned(), format!("X-Pad: {}", "p".repeat(200))];
                 return if held == 0 {
-                    Says::Slow(200, fields, body, piece, Duration::from_millis(60))
+                    Response::InPieces(200, fields, body, piece, Duration::from_millis(60))
                 } else {
                     let head =
                         format!("HTTP/1.1 200 x\r\nX-Batch: 1\r\nContent-Length: {}\r\n\r\n", ROWS.len());
-                    Says::Noise(head + std::str::from_utf8(&body).unwrap())
+                    Response::RawKeepOpen(head + std::str::from_utf8(&body).unwrap())
                 };
             }
-            pages(call, &[ROWS, ROWS])
+            result_page(call, &[ROWS, ROWS])
         });
-        let mut client = Client::new(&Running::quiet(&[engine.address]));
-        client.asks(1, "load", 20_000);
-        assert_eq!(client.hears(), (1, Ok(ROWS.repeat(2))));
-        assert_eq!(engine.had("POST").len(), 1);
+        let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+        client.send_job(1, "load", 20_000);
+        assert_eq!(client.receive(), (1, Ok(ROWS.repeat(2))));
+        assert_eq!(engine.received_calls("POST").len(), 1);
     }
 }
 
@@ -156,22 +170,26 @@
 fn a_client_that_pauses_for_three_seconds_gets_all_and_one_that_pauses_too_long_can_tell() {
     let row = format!("{}\tb\tc\n", "x".repeat(5_900));
     let page: &'static str = row.leak();
-    let engine = Standin::start(move |call| pages(call, &[page; 8]));
+    let engine = StandinServer::start(move |call| result_page(call, &[page; 8]));
     for (grace, whole) in [(4_000, true), (500, false)] {
-        let told = told(&[engine.address], Events::default().serve().address, 1024);
+        let told = router_config(&[engine.address], DiscoveryEvents::default().serve().address, 1024);
         let sheet = format!(r#"{{"pace": {{"client_grace_ms": {grace}}}}}"#);
-        let router = Running::set(&told, None, OperatorFile::parse(&sheet, Path::new("patient")).unwrap());
-        let mut client = Client::narrow(&router);
+        let router = RouterThread::start_with_operator_file(
+            &told,
+            None,
+            OperatorFile::parse(&sheet, Path::new("patient")).unwrap(),
+        );
+        let mut client = Client::with_small_receive_buffer(&router);
         let most = 60;
         for number in 1..=most {
-            client.asks(number, "look", 20_000);
+            client.send_job(number, "look", 20_000);
             if number % 20 == 0 {
                 // So that no more than 32 are open, as the protocol wants it.
                 thread::sleep(Duration::from_millis(300));
             }
         }
         thread::sleep(Duration::from_secs(3));
-        let taken = client.takes_all(most);
+        let taken = client.count_answers(most);
         assert_eq!(taken == most as usize, whole, "{taken} whole answers with {grace} ms of grace");
     }
 }
--- a/crates/router/tests/slow_discovery.rs
+++ b/crates/router/tests/slow_discovery.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use woadhook_standins::bulletin::asked;
+use woadhook_standins::discovery::query_param;
 use woadhook_standins::*;
 
 const ROWS: &str = "a\tb\tc\n";
@@ -16,9 +16,9 @@
 
 /// The engine list in one event, and behind it the event in which the first engine begins to drain.
 fn events(engines: &[SocketAddr]) -> Vec<Value> {
-    let line = |(number, at): (usize, &SocketAddr)| member(&format!("s-{number}"), *at, "SERVING");
+    let line = |(number, at): (usize, &SocketAddr)| roster_member(&format!("s-{number}"), *at, "SERVING");
     let all: Vec<Value> = engines.iter().enumerate().map(line).collect();
-    let drains = vec![member("s-0", engines[0], "DRAINING")];
+    let drains = vec![roster_member("s-0", engines[0], "DRAINING")];
     vec![
         json!({"no": 1, "roster": {"revision": 1, "complete": true, "members": all}}),
         json!({"no": 2, "roster": {"revision": 2, "complete": false, "members": drains}}),
@@ -26,27 +26,27 @@
 }
 
 /// What discovery answers at once to a call: all events behind the number that it asks with.
-fn later(events: &[Value], call: &Call) -> Says {
-    let after = asked(call, "after");
+fn later(events: &[Value], call: &Call) -> Response {
+    let after = query_param(call, "after");
     let items: Vec<&Value> = events.iter().filter(|event| event["no"].as_u64() > Some(after)).collect();
-    says(200, &[], &json!({"no": 2, "items": items}).to_string())
+    response(200, &[], &json!({"no": 2, "items": items}).to_string())
 }
 
-fn engine() -> Standin {
-    Standin::start(|call| pages(call, &[ROWS]))
+fn engine() -> StandinServer {
+    StandinServer::start(|call| result_page(call, &[ROWS]))
 }
 
 /// Once the router has told discovery that it knows of the drain, nothing goes to the engine that drains.
-fn the_drain_is_heard(router: &Running, discovery: &Standin, engines: &[Standin; 2]) {
-    discovery.awaits("GET /bulletins?after=2&");
-    engines[0].had("POST");
-    let mut client = Client::new(router);
+fn the_drain_is_heard(router: &RouterThread, discovery: &StandinServer, engines: &[StandinServer; 2]) {
+    discovery.wait_for_call("GET /bulletins?after=2&");
+    engines[0].received_calls("POST");
+    let mut client = Client::connect(router);
     for number in 1..=20 {
-        client.asks(number, "look", 20_000);
-        assert_eq!(client.hears(), (number, Ok(ROWS.to_owned())));
+        client.send_job(number, "look", 20_000);
+        assert_eq!(client.receive(), (number, Ok(ROWS.to_owned())));
     }
-    assert_eq!(engines[0].had("POST").len(), 0);
-    assert_eq!(engines[1].had("POST").len(), 20);
+    assert_eq!(engines[0].received_calls("POST").len(), 0);
+    assert_eq!(engines[1].received_calls("POST").len(), 20);
 }
 
 /// Threat: a crowded discovery. The grace is a second here, a quarter of it the longest that a call asks to wait. In the last
@@ -57,11 +57,11 @@
         let engines = [engine(), engine()];
         let addresses = [engines[0].address, engines[1].address];
         let (events, late) = (events(&addresses), Duration::from_millis(late));
-        let discovery = Standin::start(move |call| match call.connection {
-            0 if first_is_silent => Says::Nothing,
-            _ => Says::Late(late, Box::new(later(&events, call))),
+        let discovery = StandinServer::start(move |call| match call.connection {
+            0 if first_is_silent => Response::NoResponse,
+            _ => Response::Delayed(late, Box::new(later(&events, call))),
         });
-        let router = Running::start(&addresses, discovery.address);
+        let router = RouterThread::start(&addresses, discovery.address);
         the_drain_is_heard(&router, &discovery, &engines);
     }
 }
@@ -72,18 +72,18 @@
     let engine = engine();
     let events = events(&[nobody(), engine.address]);
     let late = Duration::from_millis(1_500);
-    let discovery = Standin::start(move |call| Says::Late(late, Box::new(later(&events, call))));
-    let mut told: Value = serde_json::from_str(&told(&[], discovery.address, 1024)).unwrap();
+    let discovery = StandinServer::start(move |call| Response::Delayed(late, Box::new(later(&events, call))));
+    let mut told: Value = serde_json::from_str(&router_config(&[], discovery.address, 1024)).unwrap();
     told["known"] = json!({});
-    let router = Running::with(&told.to_string());
-    let by = Instant::now() + LONG;
-    let mut client = Client::new(&router);
-    while !client.pings(0) {
+    let router = RouterThread::start_with_config(&told.to_string());
+    let by = Instant::now() + TEST_TIMEOUT;
+    let mut client = Client::connect(&router);
+    while !client.ping(0) {
         assert!(Instant::now() < by, "not ready");
         thread::sleep(Duration::from_millis(20));
     }
     // A whole list at each call would be what crowds it.
-    let whole = discovery.had("GET /bulletins?after=0&").len();
+    let whole = discovery.received_calls("GET /bulletins?after=0&").len();
     assert!(whole <= 3, "the whole list was asked for {whole} times");
 }
 
@@ -97,15 +97,19 @@
     let (events, gap) = (events(&addresses[..2]), Duration::from_millis(25));
     // Lines that are gone, so that the pieces take two seconds.
     let gone: Vec<Value> =
-        (2..LONG_LIST).map(|number| member(&format!("s-{number}"), nobody(), "DELETED")).collect();
+        (2..LONG_LIST).map(|number| roster_member(&format!("s-{number}"), nobody(), "DELETED")).collect();
     let mut long = events.clone();
     long[1]["roster"]["members"].as_array_mut().unwrap().extend(gone);
-    let discovery = Standin::start(move |call| {
-        let Says::Answer(status, fields, body) = later(&long, call) else { unreachable!() };
+    let discovery = StandinServer::start(move |call| {
+        let Response::Full(status, fields, body) = later(&long, call) else { unreachable!() };
         let piece = body.len().div_ceil(80);
-        if asked(call, "after") < 2 { Says::Slow(status, fields, body, piece, gap) } else { Says::Nothing }
+        if query_param(call, "after") < 2 {
+            Response::InPieces(status, fields, body, piece, gap)
+        } else {
+            Response::NoResponse
+        }
     });
-    let router = Running::start(&known, discovery.address);
+    let router = RouterThread::start(&known, discovery.address);
     the_drain_is_heard(&router, &discovery, &engines);
 }
 
@@ -122,13 +126,13 @@
 /// When the last query came to one of two engines.
 type LastSend = Arc<Mutex<Option<Instant>>>;
 
-fn noting_engine(last: &LastSend) -> Standin {
+fn noting_engine(last: &LastSend) -> StandinServer {
     let last = last.clone();
-    Standin::start(move |call| {
+    StandinServer::start(move |call| {
         if call.line.starts_with("POST") {
             *last.lock().unwrap() = Some(Instant::now());
         }
-        pages(call, &[ROWS])
+        result_page(call, &[ROWS])
     })
 }
 
@@ -142,37 +146,38 @@
     let (drains, gone) = (noting_engine(&last), noting_engine(&last));
     let (stays, new) = (engine(), engine());
     let addresses = [drains.address, gone.address, stays.address];
-    let events = Events::default();
-    let serving = |(number, at): (usize, &SocketAddr)| member(&format!("s-{number}"), *at, "SERVING");
+    let events = DiscoveryEvents::default();
+    let serving = |(number, at): (usize, &SocketAddr)| roster_member(&format!("s-{number}"), *at, "SERVING");
     events.add(1, addresses.iter().enumerate().map(serving).collect());
     let changed = Arc::new(Mutex::new(None::<Instant>));
     let (noted, changes) = (
         changed.clone(),
         vec![
-            member("s-0", drains.address, "DRAINING"),
-            member("s-1", gone.address, "DELETED"),
-            member("s-3", new.address, "SERVING"),
+            roster_member("s-0", drains.address, "DRAINING"),
+            roster_member("s-1", gone.address, "DELETED"),
+            roster_member("s-3", new.address, "SERVING"),
         ],
     );
     let (mut calls, told_events) = (0, events.clone());
-    let discovery = Standin::start(move |call| {
+    let discovery = StandinServer::start(move |call| {
         calls += 1;
         let answer = told_events.answer_at_once(call);
         if calls == CHANGES_BEHIND {
             *noted.lock().unwrap() = Some(Instant::now());
             told_events.add(2, changes.clone());
         }
-        Says::Late(late, Box::new(answer))
+        Response::Delayed(late, Box::new(answer))
     });
     let late_too = |_: &Duration| {
         let events = events.clone();
-        Standin::start(move |call| Says::Late(late, Box::new(events.answer_at_once(call))))
+        StandinServer::start(move |call| Response::Delayed(late, Box::new(events.answer_at_once(call))))
     };
-    let others: Vec<Standin> = moves.iter().map(late_too).collect();
-    let mut config: Value = serde_json::from_str(&told(&addresses, discovery.address, 1024)).unwrap();
+    let others: Vec<StandinServer> = moves.iter().map(late_too).collect();
+    let mut config: Value =
+        serde_json::from_str(&router_config(&addresses, discovery.address, 1024)).unwrap();
     config["settings"]["obligations"]["stopSendingWithinUs"] = json!(grace.as_micros() as u64);
-    let router = Running::with(&config.to_string());
-    let mut client = Client::new(&router);
+    let router = RouterThread::start_with_config(&config.to_string());
+    let mut client = Client::connect(&router);
     let (mut number, by) = (0, Instant::now() + grace * 12);
     let mut left_moves = moves.iter().zip(&others).peekable();
     while changed.lock().unwrap().is_none_or(|at| at.elapsed() < grace.mul_f64(1.7)) {
@@ -181,14 +186,14 @@
         for _ in 0..GROUPS {
             number += 1;
             let (id, text) = (format!("{number:016x}"), format!("select 1 from sales_{}.x", number % GROUPS));
-            client.0.write_all(&Client::message(number, "look", &id, 20_000, &text)).unwrap();
+            client.0.write_all(&Client::encode_job(number, "look", &id, 20_000, &text)).unwrap();
         }
-        (0..GROUPS).for_each(|_| assert!(client.hears().1.is_ok()));
+        (0..GROUPS).for_each(|_| assert!(client.receive().1.is_ok()));
         let behind = changed.lock().unwrap().map_or(Duration::ZERO, |at| at.elapsed());
         if let Some((_, to)) = left_moves.next_if(|(at, _)| behind >= **at) {
             config["bulletin"] = json!(to.address.to_string());
             let given = woadhook_router::config::parse(&config.to_string(), None);
-            router.orders.send_blocking(woadhook_router::stop::OperatorCommand::Reload(given)).unwrap();
+            router.commands.send_blocking(woadhook_router::stop::OperatorCommand::Reload(given)).unwrap();
         }
         thread::sleep(Duration::from_millis(5));
     }
--- a/crates/router/tests/soak.rs
+++ b/crates/router/tests/soak.rs
@@ -11,11 +11,12 @@
 const LENGTH: u64 = 8_000;
 
 fn play(plan: &Plan) {
-    let folder = folders::own(env!("CARGO_TARGET_TMPDIR"), &format!("soak-{}", plan.seed));
-    let layout = Layout { ordered: true, failing_calls: true, ..Layout::plain(ROUTERS, ENGINES) };
+    let folder = folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("soak-{}", plan.seed));
+    let layout =
+        Layout { ordered: true, failing_system_calls: true, ..Layout::single_zone(ROUTERS, ENGINES) };
     let fleet = Fleet::start(env!("CARGO_BIN_EXE_woadhook"), &folder, layout);
-    let late = fleet.overlap(plan).late;
-    fleet.settle();
+    let late = fleet.run_plan(plan).late_steps;
+    fleet.wait_for_drains();
     let told = |fault| panic!("{fault}\nschedule: {:#?}\nthe rig was late: {late:#?}", plan.troubles);
     let tally = fleet.verdict().unwrap_or_else(told);
     assert!(tally.done > 100, "{tally:?}");
--- a/crates/router/tests/stories/main.rs
+++ b/crates/router/tests/stories/main.rs
@@ -27,14 +27,14 @@
 
 #[test]
 fn a_result_of_many_pages_arrives_whole_and_in_order() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n", "d\te\tf\n", "g\th\ti\n"]));
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n", "d\te\tf\n", "g\th\ti\n"]));
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     // A request may come in pieces.
-    for byte in Client::message(7, "look", "9b1f03aa5c7e2d41", 20_000, "select 'x' from sales_17.orders") {
+    for byte in Client::encode_job(7, "look", "9b1f03aa5c7e2d41", 20_000, "select 'x' from sales_17.orders") {
         client.0.write_all(&[byte]).unwrap();
     }
-    assert_eq!(client.hears(), (7, Ok("a\tb\tc\nd\te\tf\ng\th\ti\n".to_owned())));
-    let call = engine.awaits("POST /v2/q ");
+    assert_eq!(client.receive(), (7, Ok("a\tb\tc\nd\te\tf\ng\th\ti\n".to_owned())));
+    let call = engine.wait_for_call("POST /v2/q ");
     assert_eq!(call.body, b"select 'x' from sales_17.orders");
     for field in ["X-Trace: 9b1f03aa5c7e2d41", "X-Profile: look", "X-Patience: ", "X-Weight-Class: "] {
         assert!(call.fields.iter().any(|known| known.starts_with(field)), "{field}");
@@ -44,52 +44,56 @@
 #[test]
 fn news_are_asked_for_until_the_end() {
     let mut left = 3_usize;
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         left -= usize::from(call.line.contains("/v2/q"));
-        if left > 0 { says(202, &["X-Result: pct", "X-Num: 0.5"], "") } else { pages(call, &["a\tb\tc\n"]) }
+        if left > 0 {
+            response(202, &["X-Result: pct", "X-Num: 0.5"], "")
+        } else {
+            result_page(call, &["a\tb\tc\n"])
+        }
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 20_000);
-    assert_eq!(client.hears(), (1, Ok("a\tb\tc\n".to_owned())));
-    engine.awaits("POST");
-    assert_eq!(engine.had("GET /v2/q/0000000000000001/0").len(), 2);
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 20_000);
+    assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
+    engine.wait_for_call("POST");
+    assert_eq!(engine.received_calls("GET /v2/q/0000000000000001/0").len(), 2);
 }
 
 #[test]
 fn a_result_that_is_not_whole_is_never_served() {
-    let broken: [fn(&Call) -> Says; 4] = [
-        |_| says(500, &[], ""),
-        |_| says(200, &["X-Batch: 2"], "d\te\tf\n"),
-        |_| says(200, &["X-Batch: 1"], "d\te"),
-        |_| says(200, &["X-Batch: 1"], &"x\n".repeat(25_000)),
+    let broken: [fn(&Call) -> Response; 4] = [
+        |_| response(500, &[], ""),
+        |_| response(200, &["X-Batch: 2"], "d\te\tf\n"),
+        |_| response(200, &["X-Batch: 1"], "d\te"),
+        |_| response(200, &["X-Batch: 1"], &"x\n".repeat(25_000)),
     ];
     for (number, second) in broken.into_iter().enumerate() {
-        let engine = Standin::start(move |call| match call.line.split(' ').next() {
-            Some("POST") => says(200, &["X-Batches: 2"], "a\tb\tc\n"),
+        let engine = StandinServer::start(move |call| match call.line.split(' ').next() {
+            Some("POST") => response(200, &["X-Batches: 2"], "a\tb\tc\n"),
             _ => second(call),
         });
-        let mut client = Client::new(&Running::quiet(&[engine.address]));
-        client.asks(1, "load", 20_000);
-        assert_eq!(client.hears(), (1, Err("Internal".to_owned())), "case {number}");
+        let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+        client.send_job(1, "load", 20_000);
+        assert_eq!(client.receive(), (1, Err("Internal".to_owned())), "case {number}");
     }
 }
 
 #[test]
 fn an_aborted_job_is_deleted_and_gets_no_answer() {
     let mut first = true;
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         if post(call) && !std::mem::take(&mut first) {
-            return pages(call, &["a\tb\tc\n"]);
+            return result_page(call, &["a\tb\tc\n"]);
         }
-        says(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], "")
+        response(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], "")
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 20_000);
-    engine.awaits("POST");
-    client.aborts(1);
-    engine.awaits("DELETE /v2/q/0000000000000001 ");
-    client.asks(2, "load", 20_000);
-    assert_eq!(client.hears().0, 2);
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 20_000);
+    engine.wait_for_call("POST");
+    client.send_abort(1);
+    engine.wait_for_call("DELETE /v2/q/0000000000000001 ");
+    client.send_job(2, "load", 20_000);
+    assert_eq!(client.receive().0, 2);
 }
 
 #[test]
@@ -97,98 +101,104 @@
     let (first, second) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
     let engines = [0, 1].map(|_| {
         let (first, second) = (first.clone(), second.clone());
-        Standin::start(move |call| {
+        StandinServer::start(move |call| {
             if call.line.starts_with("PUT /v2/q/0000000000000001 ") {
                 second.store(call.body.len() == 1 && call.body[0].is_ascii_digit(), Ordering::Relaxed);
-                return says(204, &[], "");
+                return response(204, &[], "");
             }
             let slow = post(call) && first.swap(false, Ordering::Relaxed);
             if slow || !second.load(Ordering::Relaxed) {
-                says(202, &[], "")
+                response(202, &[], "")
             } else {
-                pages(call, &["a\tb\tc\n"])
+                result_page(call, &["a\tb\tc\n"])
             }
         })
     });
-    let bulletin = Events::default().serve();
-    let told = told(&engines.each_ref().map(|engine| engine.address), bulletin.address, 1024)
+    let bulletin = DiscoveryEvents::default().serve();
+    let told = router_config(&engines.each_ref().map(|engine| engine.address), bulletin.address, 1024)
         .replace("\"cancelling\":true", "\"cancelling\":false,\"secondCopies\":true");
-    let mut client = Client::new(&Running::with(&told));
-    client.asks(1, "look", 10_000);
-    assert_eq!(client.hears(), (1, Ok("a\tb\tc\n".to_owned())));
+    let mut client = Client::connect(&RouterThread::start_with_config(&told));
+    client.send_job(1, "look", 10_000);
+    assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
 fn a_client_that_leaves_withdraws_its_jobs() {
-    let engine =
-        Standin::start(|call| says(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], ""));
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 60_000);
-    engine.awaits("POST");
+    let engine = StandinServer::start(|call| {
+        response(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], "")
+    });
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 60_000);
+    engine.wait_for_call("POST");
     drop(client);
-    engine.awaits("DELETE");
+    engine.wait_for_call("DELETE");
 }
 
 #[test]
 fn a_silent_query_ends_at_its_time_and_is_deleted() {
-    let engine = Standin::start(|call| if post(call) { Says::Nothing } else { says(204, &[], "") });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 1_000);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    engine.awaits("DELETE");
+    let engine =
+        StandinServer::start(|call| if post(call) { Response::NoResponse } else { response(204, &[], "") });
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 1_000);
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    engine.wait_for_call("DELETE");
     // And it had only this answer.
-    assert!(client.pings(2));
+    assert!(client.ping(2));
 }
 
 #[test]
 fn a_reply_after_a_give_up_reaches_no_client() {
     let (open, gate) = std::sync::mpsc::channel();
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         if post(call) {
             gate.recv().unwrap();
         }
-        pages(call, &["a\tb\tc\n"])
+        result_page(call, &["a\tb\tc\n"])
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 1_000);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 1_000);
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     open.send(()).unwrap();
-    engine.awaits("DELETE");
-    assert!(client.pings(2));
+    engine.wait_for_call("DELETE");
+    assert!(client.ping(2));
     open.send(()).unwrap();
-    client.asks(3, "load", 20_000);
-    assert_eq!(client.hears(), (3, Ok("a\tb\tc\n".to_owned())));
+    client.send_job(3, "load", 20_000);
+    assert_eq!(client.receive(), (3, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
 fn what_failed_dispatches_held_comes_back() {
     let (mut step, mended) = (0, Arc::new(AtomicBool::new(false)));
     let now_well = mended.clone();
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         if now_well.load(Ordering::Relaxed) {
-            return pages(call, &["a\tb\tc\n"]);
+            return result_page(call, &["a\tb\tc\n"]);
         }
         if !post(call) {
-            return says(if call.line.starts_with("DELETE") { 204 } else { 500 }, &[], "");
+            return response(if call.line.starts_with("DELETE") { 204 } else { 500 }, &[], "");
         }
         step += 1;
         match step % 4 {
-            0 => says(202, &["X-Result: pct", "X-Num: many"], ""),
-            1 => Says::Nothing,
-            2 => Says::Cut,
-            _ => says(503, &["X-Declined: 1"], ""),
+            0 => response(202, &["X-Result: pct", "X-Num: many"], ""),
+            1 => Response::NoResponse,
+            2 => Response::CloseConnection,
+            _ => response(503, &["X-Declined: 1"], ""),
         }
     });
     // Two descriptors for queries, one for errands, and twelve failures of each kind.
-    let bulletin = Events::default().serve();
-    let mut client = Client::new(&Running::with(&told(&[engine.address], bulletin.address, 41)));
+    let bulletin = DiscoveryEvents::default().serve();
+    let mut client = Client::connect(&RouterThread::start_with_config(&router_config(
+        &[engine.address],
+        bulletin.address,
+        41,
+    )));
     for number in 1..49 {
-        client.asks(number, "load", 100);
-        assert!(client.hears().1.is_err());
+        client.send_job(number, "load", 100);
+        assert!(client.receive().1.is_err());
     }
     mended.store(true, Ordering::Relaxed);
-    client.asks(49, "load", 20_000);
-    assert_eq!(client.hears(), (49, Ok("a\tb\tc\n".to_owned())));
+    client.send_job(49, "load", 20_000);
+    assert_eq!(client.receive(), (49, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
@@ -208,32 +218,37 @@
         ),
         ("HTTP/1.1 200 x\r\nContent-Length: 9\r\nX-Batches: 1\r\n\r\na\tb\tc\n", Err("Internal".to_owned())),
     ] {
-        let engine =
-            Standin::start(move |call| if post(call) { Says::Raw(words) } else { says(500, &[], "") });
-        let mut client = Client::new(&Running::quiet(&[engine.address]));
-        client.asks(1, "load", 20_000);
-        assert_eq!(client.hears(), (1, result), "{words}");
+        let engine = StandinServer::start(move |call| {
+            if post(call) { Response::RawThenClose(words) } else { response(500, &[], "") }
+        });
+        let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+        client.send_job(1, "load", 20_000);
+        assert_eq!(client.receive(), (1, result), "{words}");
     }
 }
 
-fn nonsense(number: usize) -> Says {
+fn nonsense(number: usize) -> Response {
     let row = "a\tb\tc\n";
     let second = |behind: &str| {
-        Says::Noise(format!("HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n{row}{behind}"))
+        Response::RawKeepOpen(format!(
+            "HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n{row}{behind}"
+        ))
     };
     match number {
-        0 => says(202, &["X-Result: pct", "X-Num: much"], ""),
-        1 => says(200, &[], row),
-        2 => says(200, &["X-Batches: 1", "Content-Length: x"], row),
-        3 => says(302, &[], ""),
-        4 => Says::Raw("SSH-2.0-none\r\n\r\n"),
-        5 => says(200, &["X-Batches: 1"], "a\tb\n"),
-        6 => says(200, &["X-Batches: 1"], "a\tb\tc\nd\te"),
+        0 => response(202, &["X-Result: pct", "X-Num: much"], ""),
+        1 => response(200, &[], row),
+        2 => response(200, &["X-Batches: 1", "Content-Length: x"], row),
+        3 => response(302, &[], ""),
+        4 => Response::RawThenClose("SSH-2.0-none\r\n\r\n"),
+        5 => response(200, &["X-Batches: 1"], "a\tb\n"),
+        6 => response(200, &["X-Batches: 1"], "a\tb\tc\nd\te"),
         7 => second("HTTP/1.1 200 x\r\n"),
-        8 => Says::Noise("HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n".to_owned()),
-        9 => Says::Noise(format!("HTTP/1.1 200 x\r\nX-Endless: {}", "x".repeat(9_000))),
-        10 => Says::Nothing,
-        _ => Says::Cut,
+        8 => Response::RawKeepOpen(
+            "HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n".to_owned(),
+        ),
+        9 => Response::RawKeepOpen(format!("HTTP/1.1 200 x\r\nX-Endless: {}", "x".repeat(9_000))),
+        10 => Response::NoResponse,
+        _ => Response::CloseConnection,
     }
 }
 
@@ -241,126 +256,134 @@
 fn what_makes_no_sense_is_asked_for_again_and_never_served() {
     for number in 0..12 {
         let mut calls = 0;
-        let engine = Standin::start(move |call| {
+        let engine = StandinServer::start(move |call| {
             calls += 1;
-            if calls < 4 { nonsense(number) } else { pages(call, &["d\te\tf\n", "g\th\ti\n"]) }
+            if calls < 4 { nonsense(number) } else { result_page(call, &["d\te\tf\n", "g\th\ti\n"]) }
         });
-        let mut client = Client::new(&Running::quiet(&[engine.address]));
-        client.asks(1, "load", 20_000);
-        assert_eq!(client.hears(), (1, Ok("d\te\tf\ng\th\ti\n".to_owned())), "case {number}");
-        assert_eq!(engine.had("POST").len(), 1, "case {number}");
+        let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+        client.send_job(1, "load", 20_000);
+        assert_eq!(client.receive(), (1, Ok("d\te\tf\ng\th\ti\n".to_owned())), "case {number}");
+        assert_eq!(engine.received_calls("POST").len(), 1, "case {number}");
     }
 }
 
 #[test]
 fn nonsense_without_end_ends_a_dispatch_as_may_have_run_and_deletes_it() {
     for number in 0..10 {
-        let engine = Standin::start(move |call| {
-            if call.line.starts_with("DELETE") { says(204, &[], "") } else { nonsense(number) }
+        let engine = StandinServer::start(move |call| {
+            if call.line.starts_with("DELETE") { response(204, &[], "") } else { nonsense(number) }
         });
-        let mut client = Client::new(&Running::quiet(&[engine.address]));
-        client.asks(1, "load", 20_000);
-        assert_eq!(client.hears(), (1, Err("Internal".to_owned())), "case {number}");
-        let posts = engine.until("DELETE").iter().filter(|call| post(call)).count();
+        let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+        client.send_job(1, "load", 20_000);
+        assert_eq!(client.receive(), (1, Err("Internal".to_owned())), "case {number}");
+        let posts = engine.calls_until("DELETE").iter().filter(|call| post(call)).count();
         assert_eq!(posts, 1, "case {number}");
     }
 }
 
 #[test]
 fn interim_answers_come_before_the_one_that_counts() {
-    let engine = Standin::start(|call| match post(call) {
-        true => Says::Noise(
+    let engine = StandinServer::start(|call| match post(call) {
+        true => Response::RawKeepOpen(
             "HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nX-Batches: 7\r\n\r\n\
              HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n"
                 .to_owned(),
         ),
-        false => says(500, &[], ""),
+        false => response(500, &[], ""),
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 20_000);
-    assert_eq!(client.hears(), (1, Ok("a\tb\tc\n".to_owned())));
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 20_000);
+    assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
 fn noise_on_one_probe_leaves_its_engine_in_use() {
     let (done, mut probes) = (Arc::new(AtomicBool::new(false)), 0);
     let end = done.clone();
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         if call.line.starts_with("GET /load") {
             probes += 1;
-            return if probes == 1 { Says::Raw("SSH-2.0-none\r\n\r\n") } else { says(200, &[], "") };
+            return if probes == 1 {
+                Response::RawThenClose("SSH-2.0-none\r\n\r\n")
+            } else {
+                response(200, &[], "")
+            };
         }
         let first = call.line.contains("/0000000000000001")
             || call.fields.iter().any(|field| field == "X-Trace: 0000000000000001");
-        if first && !end.load(Ordering::Relaxed) { says(202, &[], "") } else { pages(call, &["a\tb\tc\n"]) }
+        if first && !end.load(Ordering::Relaxed) {
+            response(202, &[], "")
+        } else {
+            result_page(call, &["a\tb\tc\n"])
+        }
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "look", 20_000);
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "look", 20_000);
     for number in 2..9 {
-        client.asks(number, "load", 20_000);
-        assert_eq!(client.hears(), (number, Ok("a\tb\tc\n".to_owned())));
+        client.send_job(number, "load", 20_000);
+        assert_eq!(client.receive(), (number, Ok("a\tb\tc\n".to_owned())));
     }
     // Were it set aside, its query would be given up and sent again.
-    let before = engine.until("GET /load");
-    let between = engine.until("GET /load");
+    let before = engine.calls_until("GET /load");
+    let between = engine.calls_until("GET /load");
     done.store(true, Ordering::Relaxed);
-    assert_eq!(client.hears(), (1, Ok("a\tb\tc\n".to_owned())));
-    let calls = [before, between, engine.had("")].concat();
+    assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
+    let calls = [before, between, engine.received_calls("")].concat();
     assert!(!calls.iter().any(|call| call.line.starts_with("DELETE")));
 }
 
 #[test]
 fn a_list_that_cannot_be_read_is_asked_for_again_and_the_old_one_kept() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
-    let (events, old) = (Events::default(), engine.address);
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
+    let (events, old) = (DiscoveryEvents::default(), engine.address);
     let told = events.clone();
     let mut asked = 0;
-    let bulletin = Standin::start(move |call| {
+    let bulletin = StandinServer::start(move |call| {
         asked += 1;
         let draining = |phase: &str| {
             json!({"no": 2, "items": [{"no": 2, "roster": {"members":
-            [member("s-0", old, "DRAINING"), member("s-1", old, phase)]}}]})
+            [roster_member("s-0", old, "DRAINING"), roster_member("s-1", old, phase)]}}]})
         };
         match asked {
-            1 => says(200, &[], "{\"no\":"),
-            2 => says(200, &[], &draining("SLEEPING").to_string()),
-            3 => says(503, &[], ""),
+            1 => response(200, &[], "{\"no\":"),
+            2 => response(200, &[], &draining("SLEEPING").to_string()),
+            3 => response(503, &[], ""),
             _ => told.answer(call),
         }
     });
-    let mut client = Client::new(&Running::start(&[old], bulletin.address));
-    let asked = [0; 4].map(|_| bulletin.awaits("GET /bulletins?after=1&").connection);
+    let mut client = Client::connect(&RouterThread::start(&[old], bulletin.address));
+    let asked = [0; 4].map(|_| bulletin.wait_for_call("GET /bulletins?after=1&").connection);
     assert!(asked.is_sorted_by(|a, b| a < b), "each time on a new connection: {asked:?}");
-    client.asks(1, "load", 20_000);
-    assert!(client.hears().1.is_ok());
+    client.send_job(1, "load", 20_000);
+    assert!(client.receive().1.is_ok());
     events.add(2, vec![]);
-    bulletin.awaits("GET /bulletins?after=2&");
+    bulletin.wait_for_call("GET /bulletins?after=2&");
 }
 
 #[test]
 fn a_client_that_does_not_read_holds_back_no_other() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n".repeat(900).as_str(); 8]));
-    let router = Running::quiet(&[engine.address]);
-    let (mut idle, mut other) = (Client::new(&router), Client::new(&router));
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n".repeat(900).as_str(); 8]));
+    let router = RouterThread::start_with_idle_discovery(&[engine.address]);
+    let (mut idle, mut other) = (Client::connect(&router), Client::connect(&router));
     for number in 1..=200 {
         if idle
             .0
-            .write_all(&Client::message(number, "look", &format!("f{number:015x}"), 3_000, "select 1"))
+            .write_all(&Client::encode_job(number, "look", &format!("f{number:015x}"), 3_000, "select 1"))
             .is_err()
         {
             break;
         }
     }
     for number in 1..9 {
-        other.asks(number, "load", 20_000);
-        let (answered, result) = other.hears();
+        other.send_job(number, "load", 20_000);
+        let (answered, result) = other.receive();
         assert_eq!((answered, result.map(|rows| rows.len())), (number, Ok(8 * 900 * 6)));
     }
 }
 
 #[test]
 fn a_fault_of_the_configuration_is_named() {
-    let whole: serde_json::Value = serde_json::from_str(&told(&[], nobody(), 40)).unwrap();
+    let whole: serde_json::Value = serde_json::from_str(&router_config(&[], nobody(), 40)).unwrap();
     for field in ["listen", "seed", "limits", "bulletin"] {
         let mut lacking = whole.clone();
         lacking.as_object_mut().unwrap().remove(field);
@@ -373,7 +396,7 @@
 
 #[test]
 fn a_message_is_whole_at_its_last_byte_and_nothing_else_panics() {
-    let message = Client::message(70_000, "look", "9b1f03aa5c7e2d41", 3_000, &"x".repeat(300));
+    let message = Client::encode_job(70_000, "look", "9b1f03aa5c7e2d41", 3_000, &"x".repeat(300));
     let whole = |bytes: &[u8]| codec::message_length(bytes, &mut codec::MessageScanner::default(), &mut 0);
     let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     for length in 0..message.len() {
@@ -396,208 +419,220 @@
 
 #[test]
 fn what_provably_never_ran_goes_elsewhere_though_it_may_run_once_only() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let mut full = true;
-    let refusing = Standin::start(move |call| {
+    let refusing = StandinServer::start(move |call| {
         full = !full;
         if full {
-            says(503, &["X-Declined: 1"], "")
+            response(503, &["X-Declined: 1"], "")
         } else {
-            says(504, &["X-Declined: 1"], call.line.get(..0).unwrap())
+            response(504, &["X-Declined: 1"], call.line.get(..0).unwrap())
         }
     });
     for other in [nobody(), refusing.address] {
-        let mut client = Client::new(&Running::quiet(&[other, engine.address]));
+        let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[other, engine.address]));
         for number in 1..9 {
-            client.asks(number, "load", 20_000);
-            assert_eq!(client.hears(), (number, Ok("a\tb\tc\n".to_owned())));
+            client.send_job(number, "load", 20_000);
+            assert_eq!(client.receive(), (number, Ok("a\tb\tc\n".to_owned())));
         }
     }
-    assert!(!refusing.had("POST").is_empty());
+    assert!(!refusing.received_calls("POST").is_empty());
 }
 
 #[test]
 fn a_post_cut_off_may_have_run() {
-    let engine = Standin::start(|call| if post(call) { Says::Cut } else { says(500, &[], "") });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 20_000);
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    assert_eq!(engine.had("POST").len(), 1);
+    let engine =
+        StandinServer::start(
+            |call| if post(call) { Response::CloseConnection } else { response(500, &[], "") },
+        );
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 20_000);
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    assert_eq!(engine.received_calls("POST").len(), 1);
 }
 
 #[test]
 fn a_query_outlives_its_connections() {
     let mut cut = 0;
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         cut += 1;
-        if cut < 4 { Says::Cut } else { pages(call, &["a\tb\tc\n"]) }
+        if cut < 4 { Response::CloseConnection } else { result_page(call, &["a\tb\tc\n"]) }
     });
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    client.asks(1, "load", 20_000);
-    assert_eq!(client.hears(), (1, Ok("a\tb\tc\n".to_owned())));
-    assert_eq!(engine.had("POST").len(), 1);
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    client.send_job(1, "load", 20_000);
+    assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
+    assert_eq!(engine.received_calls("POST").len(), 1);
 }
 
 #[test]
 fn nothing_is_written_to_a_connection_that_the_engine_has_closed() {
-    let engine = Standin::start(|_| Says::Last(200, vec!["X-Batches: 1".to_owned()], b"a\tb\tc\n".into()));
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
+    let engine = StandinServer::start(|_| {
+        Response::FullThenClose(200, vec!["X-Batches: 1".to_owned()], b"a\tb\tc\n".into())
+    });
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     for number in 1..5 {
-        client.asks(number, "load", 20_000);
-        assert_eq!(client.hears(), (number, Ok("a\tb\tc\n".to_owned())));
-        assert_eq!(engine.awaits("POST").connection, number as usize - 1);
+        client.send_job(number, "load", 20_000);
+        assert_eq!(client.receive(), (number, Ok("a\tb\tc\n".to_owned())));
+        assert_eq!(engine.wait_for_call("POST").connection, number as usize - 1);
     }
 }
 
 #[test]
 fn a_connection_serves_call_after_call() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n", "d\te\tf\n"]));
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
-    let (mut number, mut used, by) = (0, Vec::new(), Instant::now() + LONG);
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n", "d\te\tf\n"]));
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
+    let (mut number, mut used, by) = (0, Vec::new(), Instant::now() + TEST_TIMEOUT);
     // Between jobs it rests; so it is the first one's turn again only after some.
     while used.iter().filter(|connection| **connection == 0).count() < 4 {
         assert!(Instant::now() < by, "{used:?}");
         number += 1;
-        client.asks(number, "load", 20_000);
-        assert!(client.hears().1.is_ok());
-        let post = engine.awaits("POST").connection;
-        assert_eq!(engine.awaits("GET /v2/q/").connection, post, "all calls of a job go over one connection");
+        client.send_job(number, "load", 20_000);
+        assert!(client.receive().1.is_ok());
+        let post = engine.wait_for_call("POST").connection;
+        assert_eq!(
+            engine.wait_for_call("GET /v2/q/").connection,
+            post,
+            "all calls of a job go over one connection"
+        );
         used.push(post);
     }
 }
 
 #[test]
 fn an_engine_heard_draining_gets_nothing_more() {
-    let engines = [0, 1].map(|_| Standin::start(|call| pages(call, &["a\tb\tc\n"])));
-    let (events, [old, new]) = (Events::default(), engines.each_ref().map(|engine| engine.address));
+    let engines = [0, 1].map(|_| StandinServer::start(|call| result_page(call, &["a\tb\tc\n"])));
+    let (events, [old, new]) = (DiscoveryEvents::default(), engines.each_ref().map(|engine| engine.address));
     let bulletin = events.serve();
-    let mut client = Client::new(&Running::start(&[old], bulletin.address));
-    events.add(2, vec![member("s-0", old, "DRAINING"), member("s-1", new, "SERVING")]);
-    bulletin.awaits("GET /bulletins?after=2&");
-    client.asks(1, "load", 20_000);
-    assert!(client.hears().1.is_ok());
-    assert!(engines[0].had("POST").is_empty());
-    engines[1].awaits("POST");
+    let mut client = Client::connect(&RouterThread::start(&[old], bulletin.address));
+    events.add(2, vec![roster_member("s-0", old, "DRAINING"), roster_member("s-1", new, "SERVING")]);
+    bulletin.wait_for_call("GET /bulletins?after=2&");
+    client.send_job(1, "load", 20_000);
+    assert!(client.receive().1.is_ok());
+    assert!(engines[0].received_calls("POST").is_empty());
+    engines[1].wait_for_call("POST");
 }
 
 #[test]
 fn a_dispatch_waiting_for_a_descriptor_is_not_sent_once_its_engine_drains() {
     let engines = [0, 1].map(|_| {
-        Standin::start(|call| {
+        StandinServer::start(|call| {
             let third = call.fields.iter().any(|field| field == "X-Trace: 0000000000000003");
-            if third { pages(call, &["a\tb\tc\n"]) } else { says(202, &[], "") }
+            if third { result_page(call, &["a\tb\tc\n"]) } else { response(202, &[], "") }
         })
     });
-    let (events, [old, new]) = (Events::default(), engines.each_ref().map(|engine| engine.address));
+    let (events, [old, new]) = (DiscoveryEvents::default(), engines.each_ref().map(|engine| engine.address));
     let bulletin = events.serve();
     // Two descriptors for queries.
-    let mut client = Client::new(&Running::with(&told(&[old], bulletin.address, 41)));
+    let mut client =
+        Client::connect(&RouterThread::start_with_config(&router_config(&[old], bulletin.address, 41)));
     for number in 1..4 {
-        client.asks(number, "load", 20_000);
+        client.send_job(number, "load", 20_000);
     }
-    engines[0].awaits("POST");
-    engines[0].awaits("POST");
-    events.add(2, vec![member("s-0", old, "DRAINING"), member("s-1", new, "SERVING")]);
-    bulletin.awaits("GET /bulletins?after=2&");
-    client.aborts(1);
-    assert_eq!(client.hears(), (3, Ok("a\tb\tc\n".to_owned())));
-    engines[1].awaits("POST");
-    assert!(engines[0].had("POST").is_empty());
+    engines[0].wait_for_call("POST");
+    engines[0].wait_for_call("POST");
+    events.add(2, vec![roster_member("s-0", old, "DRAINING"), roster_member("s-1", new, "SERVING")]);
+    bulletin.wait_for_call("GET /bulletins?after=2&");
+    client.send_abort(1);
+    assert_eq!(client.receive(), (3, Ok("a\tb\tc\n".to_owned())));
+    engines[1].wait_for_call("POST");
+    assert!(engines[0].received_calls("POST").is_empty());
 }
 
 #[test]
 fn no_event_is_lost_when_the_bulletin_leaves_one_out() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
-    let (events, told) = (Events::default(), Events::default());
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
+    let (events, told) = (DiscoveryEvents::default(), DiscoveryEvents::default());
     for number in 2..4 {
-        told.add(number, vec![member(&format!("s-{number}"), engine.address, "SERVING")]);
+        told.add(number, vec![roster_member(&format!("s-{number}"), engine.address, "SERVING")]);
     }
     events.add(3, vec![]);
     let mut gaps = 2;
-    let bulletin = Standin::start(move |call| {
+    let bulletin = StandinServer::start(move |call| {
         gaps -= usize::from(gaps > 0);
         if gaps > 0 { events.answer(call) } else { told.answer(call) }
     });
-    let mut client = Client::new(&Running::start(&[], bulletin.address));
-    let first = bulletin.awaits("GET /bulletins?after=1&");
-    let again = bulletin.awaits("GET /bulletins?after=1&");
+    let mut client = Client::connect(&RouterThread::start(&[], bulletin.address));
+    let first = bulletin.wait_for_call("GET /bulletins?after=1&");
+    let again = bulletin.wait_for_call("GET /bulletins?after=1&");
     assert_ne!(first.connection, again.connection);
-    bulletin.awaits("GET /bulletins?after=3&");
-    client.asks(1, "load", 20_000);
-    assert!(client.hears().1.is_ok());
+    bulletin.wait_for_call("GET /bulletins?after=3&");
+    client.send_job(1, "load", 20_000);
+    assert!(client.receive().1.is_ok());
 }
 
 #[test]
 fn a_reload_moves_to_the_new_bulletin_and_loses_no_number() {
-    let engines = [0, 1].map(|_| Standin::start(|call| pages(call, &["a\tb\tc\n"])));
+    let engines = [0, 1].map(|_| StandinServer::start(|call| result_page(call, &["a\tb\tc\n"])));
     let [old, new] = engines.each_ref().map(|engine| engine.address);
     // The first bulletin keeps its calls open and tells nothing more.
-    let (first, second) = (Standin::start(|_| Says::Nothing), Events::default());
-    let router = Running::start(&[old], first.address);
-    first.awaits("GET /bulletins?after=1&");
-    let mut client = Client::new(&router);
-    second.add(2, vec![member("s-0", old, "DRAINING"), member("s-1", new, "SERVING")]);
+    let (first, second) = (StandinServer::start(|_| Response::NoResponse), DiscoveryEvents::default());
+    let router = RouterThread::start(&[old], first.address);
+    first.wait_for_call("GET /bulletins?after=1&");
+    let mut client = Client::connect(&router);
+    second.add(2, vec![roster_member("s-0", old, "DRAINING"), roster_member("s-1", new, "SERVING")]);
     let bulletin = second.serve();
-    let reload =
-        |told: &str| router.orders.send_blocking(OperatorCommand::Reload(config::parse(told, None))).unwrap();
+    let reload = |told: &str| {
+        router.commands.send_blocking(OperatorCommand::Reload(config::parse(told, None))).unwrap()
+    };
     reload("{");
-    reload(&told(&[old], nobody(), 1024));
-    reload(&told(&[old], bulletin.address, 1024));
-    bulletin.awaits("GET /bulletins?after=1&");
-    bulletin.awaits("GET /bulletins?after=2&");
-    client.asks(1, "load", 20_000);
-    assert!(client.hears().1.is_ok());
-    engines[1].awaits("POST");
+    reload(&router_config(&[old], nobody(), 1024));
+    reload(&router_config(&[old], bulletin.address, 1024));
+    bulletin.wait_for_call("GET /bulletins?after=1&");
+    bulletin.wait_for_call("GET /bulletins?after=2&");
+    client.send_job(1, "load", 20_000);
+    assert!(client.receive().1.is_ok());
+    engines[1].wait_for_call("POST");
     // A stop is still heeded.
-    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
-    router.ends();
+    router.commands.send_blocking(OperatorCommand::Stop).unwrap();
+    router.expect_clean_end();
 }
 
 #[test]
 fn told_to_stop_it_takes_and_answers_what_still_comes_and_then_ends() {
-    let engine =
-        Standin::start(|call| match call.fields.iter().any(|field| field == "X-Trace: 0000000000000001") {
-            _ if call.line.starts_with("DELETE") => says(204, &[], ""),
-            true => says(202, &[], ""),
-            false if call.line.contains("/0000000000000001/") => says(202, &[], ""),
-            false => pages(call, &["a\tb\tc\n"]),
-        });
-    let router = Running::quiet(&[engine.address]);
-    let mut client = Client::new(&router);
-    assert!(client.pings(9));
-    client.asks(1, "load", 60_000);
-    engine.awaits("POST");
-    router.orders.send_blocking(OperatorCommand::Stop).unwrap();
+    let engine = StandinServer::start(|call| {
+        match call.fields.iter().any(|field| field == "X-Trace: 0000000000000001") {
+            _ if call.line.starts_with("DELETE") => response(204, &[], ""),
+            true => response(202, &[], ""),
+            false if call.line.contains("/0000000000000001/") => response(202, &[], ""),
+            false => result_page(call, &["a\tb\tc\n"]),
+        }
+    });
+    let router = RouterThread::start_with_idle_discovery(&[engine.address]);
+    let mut client = Client::connect(&router);
+    assert!(client.ping(9));
+    client.send_job(1, "load", 60_000);
+    engine.wait_for_call("POST");
+    router.commands.send_blocking(OperatorCommand::Stop).unwrap();
     // It says so to the front, and serves on.
-    while client.pings(9) {}
-    let mut late = Client::new(&router);
-    (2..22).for_each(|number| late.asks(number, "load", 20_000));
-    let mut served: Vec<_> = (2..22).map(|_| late.hears()).collect();
+    while client.ping(9) {}
+    let mut late = Client::connect(&router);
+    (2..22).for_each(|number| late.send_job(number, "load", 20_000));
+    let mut served: Vec<_> = (2..22).map(|_| late.receive()).collect();
     served.sort();
     assert!(served.into_iter().eq((2..22).map(|number| (number, Ok("a\tb\tc\n".to_owned())))));
     // The first would outlive it.
-    assert_eq!(client.hears(), (1, Err("Internal".to_owned())));
-    router.ends();
+    assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
+    router.expect_clean_end();
 }
 
 #[test]
 fn an_idle_client_is_closed_but_none_that_awaits_an_answer() {
     let done = Arc::new(AtomicBool::new(false));
     let end = done.clone();
-    let engine = Standin::start(move |call| {
-        if end.load(Ordering::Relaxed) { pages(call, &["a\tb\tc\n"]) } else { says(202, &[], "") }
+    let engine = StandinServer::start(move |call| {
+        if end.load(Ordering::Relaxed) { result_page(call, &["a\tb\tc\n"]) } else { response(202, &[], "") }
     });
-    let router = Running::quiet(&[engine.address]);
-    let mut waiting = Client::new(&router);
-    waiting.asks(1, "load", 60_000);
+    let router = RouterThread::start_with_idle_discovery(&[engine.address]);
+    let mut waiting = Client::connect(&router);
+    waiting.send_job(1, "load", 60_000);
     // One is silent, one stalls in the middle of a message, and one announces what it never sends.
     for words in [&[][..], &[0x94, 0x00], &[0xdd, 0, 0, 0x40, 0, 0xc0]] {
-        let mut idle = Client::new(&router);
+        let mut idle = Client::connect(&router);
         idle.0.write_all(words).unwrap();
         assert!(idle.is_closed());
     }
     // And one sends byte after byte, without end.
-    let mut slow = Client::new(&router);
+    let mut slow = Client::connect(&router);
     let mut writer = slow.0.try_clone().unwrap();
     let dripping = std::thread::spawn(move || {
         writer.write_all(&[0x94, 0x00, 0x01, 0xc5, 0xff, 0xff]).unwrap();
@@ -608,17 +643,17 @@
     assert!(slow.is_closed());
     dripping.join().unwrap();
     done.store(true, Ordering::Relaxed);
-    assert_eq!(waiting.hears(), (1, Ok("a\tb\tc\n".to_owned())));
+    assert_eq!(waiting.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
 fn a_bad_client_costs_its_own_connection_only() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
-    let router = Running::quiet(&[engine.address]);
-    let mut good = Client::new(&router);
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
+    let router = RouterThread::start_with_idle_discovery(&[engine.address]);
+    let mut good = Client::connect(&router);
     for words in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xc1], &[0x94, 0x00, 0x01, 0xdf, 0xff, 0xff, 0xff, 0xff]]
     {
-        let mut bad = Client::new(&router);
+        let mut bad = Client::connect(&router);
         bad.0.write_all(words).unwrap();
         bad.0.shutdown(std::net::Shutdown::Write).unwrap();
         assert!(bad.is_closed());
@@ -644,76 +679,77 @@
     };
     for fields in unsound {
         let number = next();
-        good.0.write_all(&Client::request(number, "look", &fields, "select 1")).unwrap();
-        assert_eq!(good.hears(), (number, Err("Malformed".to_owned())), "{fields:?}");
+        good.0.write_all(&Client::encode_request(number, "look", &fields, "select 1")).unwrap();
+        assert_eq!(good.receive(), (number, Err("Malformed".to_owned())), "{fields:?}");
     }
     for (class, statement) in [("nothing", "select 1"), ("look", " ")] {
         let number = next();
-        good.0.write_all(&Client::request(number, class, &sound, statement)).unwrap();
-        assert_eq!(good.hears(), (number, Err("Malformed".to_owned())));
+        good.0.write_all(&Client::encode_request(number, class, &sound, statement)).unwrap();
+        assert_eq!(good.receive(), (number, Err("Malformed".to_owned())));
     }
     // One too deep for a client's fields.
     let (number, deep) = (next(), [&b"\xa4look"[..], &[0x92], &[0x91; 2_000], &[0xc0, 0xc0]].concat());
     good.0.write_all(&[&[0x94, 0x00, number as u8], &deep[..]].concat()).unwrap();
-    assert_eq!(good.hears(), (number, Err("Malformed".to_owned())));
-    good.asks(99, "look", 20_000);
-    assert_eq!(good.hears(), (99, Ok("a\tb\tc\n".to_owned())));
-    assert_eq!(engine.had("POST").len(), 1);
+    assert_eq!(good.receive(), (number, Err("Malformed".to_owned())));
+    good.send_job(99, "look", 20_000);
+    assert_eq!(good.receive(), (99, Ok("a\tb\tc\n".to_owned())));
+    assert_eq!(engine.received_calls("POST").len(), 1);
 }
 
 #[test]
 fn a_message_too_long_is_answered_and_costs_its_connection_before_it_has_come() {
-    let router = Running::quiet(&[]);
-    let mut client = Client::new(&router);
+    let router = RouterThread::start_with_idle_discovery(&[]);
+    let mut client = Client::connect(&router);
     // 60 MB are announced and never come.
-    let message = Client::message(1, "look", "00000000000000aa", 3_000, "");
+    let message = Client::encode_job(1, "look", "00000000000000aa", 3_000, "");
     let announced = [&message[..message.len() - 2], &[0xc6, 0x03, 0x93, 0x87, 0x00]].concat();
     client.0.write_all(&announced).unwrap();
-    assert_eq!(client.hears(), (1, Err("Malformed".to_owned())));
+    assert_eq!(client.receive(), (1, Err("Malformed".to_owned())));
     assert!(client.is_closed());
 }
 
 #[test]
 fn two_requests_under_one_number_cost_the_connection_and_are_never_served() {
-    let engine = Standin::start(|call| says(if post(call) { 202 } else { 204 }, &[], ""));
-    let router = Running::quiet(&[engine.address]);
-    let mut client = Client::new(&router);
-    client.asks(1, "load", 20_000);
-    engine.awaits("POST");
-    client.asks(1, "load", 20_000);
+    let engine = StandinServer::start(|call| response(if post(call) { 202 } else { 204 }, &[], ""));
+    let router = RouterThread::start_with_idle_discovery(&[engine.address]);
+    let mut client = Client::connect(&router);
+    client.send_job(1, "load", 20_000);
+    engine.wait_for_call("POST");
+    client.send_job(1, "load", 20_000);
     assert!(client.is_closed());
-    engine.awaits("DELETE /v2/q/0000000000000001 ");
+    engine.wait_for_call("DELETE /v2/q/0000000000000001 ");
 }
 
 #[test]
 fn what_is_too_much_for_a_connection_is_turned_away_at_once() {
-    let engine =
-        Standin::start(|call| says(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], ""));
-    let mut client = Client::new(&Running::quiet(&[engine.address]));
+    let engine = StandinServer::start(|call| {
+        response(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], "")
+    });
+    let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     for number in 1..=300 {
-        client.asks(number, "load", 60_000);
+        client.send_job(number, "load", 60_000);
     }
     for number in 41..=300 {
-        assert_eq!(client.hears(), (number, Err("Overloaded".to_owned())));
+        assert_eq!(client.receive(), (number, Err("Overloaded".to_owned())));
     }
 }
 
 #[test]
 fn at_the_limit_the_longest_quiet_connection_makes_room() {
-    let engine = Standin::start(|call| pages(call, &["a\tb\tc\n"]));
-    let bulletin = Events::default().serve();
+    let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
+    let bulletin = DiscoveryEvents::default().serve();
     // Thirteen descriptors for clients.
-    let router = Running::with(&told(&[engine.address], bulletin.address, 41));
-    let mut clients: Vec<_> = (0..13).map(|_| Client::new(&router)).collect();
+    let router = RouterThread::start_with_config(&router_config(&[engine.address], bulletin.address, 41));
+    let mut clients: Vec<_> = (0..13).map(|_| Client::connect(&router)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        client.asks(1, "load", 20_000);
-        assert!(client.hears().1.is_ok(), "{number}");
-        client.asks(2, "nothing", 20_000);
-        assert!(client.hears().1.is_err(), "{number}");
+        client.send_job(1, "load", 20_000);
+        assert!(client.receive().1.is_ok(), "{number}");
+        client.send_job(2, "nothing", 20_000);
+        assert!(client.receive().1.is_err(), "{number}");
     }
-    let mut new = Client::new(&router);
-    new.asks(1, "load", 20_000);
-    assert!(new.hears().1.is_ok());
+    let mut new = Client::connect(&router);
+    new.send_job(1, "load", 20_000);
+    assert!(new.receive().1.is_ok());
     clients[0].0.set_nonblocking(false).unwrap();
     assert!(clients[0].is_closed());
     clients[12].0.set_nonblocking(true).unwrap();
--- a/crates/router/tests/waiting_calls.rs
+++ b/crates/router/tests/waiting_calls.rs
@@ -20,10 +20,13 @@
 use rustix::pipe::{PipeFlags, fcntl_setpipe_size, pipe_with};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
-use woadhook_standins::clients::hear;
+use woadhook_standins::clients::receive_answer;
 use woadhook_standins::folders;
-use woadhook_standins::processes::ends_with_this_thread;
-use woadhook_standins::{Call, Client, Events, LONG, Says, Standin, asked, pages, told};
+use woadhook_standins::processes::command_killed_with_thread;
+use woadhook_standins::{
+    Call, Client, DiscoveryEvents, Response, StandinServer, TEST_TIMEOUT, query_param, result_page,
+    router_config,
+};
 
 const ROWS: &str = "a\tb\tc\n";
 /// The smallest pipe that the system makes, in bytes.
@@ -59,7 +62,7 @@
 
     fn inside(folder: PathBuf, log: Stdio, level: Option<&str>, arguments: &[&str]) -> Self {
         let address = free_address();
-        let mut command = ends_with_this_thread(Path::new(env!("CARGO_BIN_EXE_woadhook")));
+        let mut command = command_killed_with_thread(Path::new(env!("CARGO_BIN_EXE_woadhook")));
         command.current_dir(&folder).args(["--log-format", "json"]).args(arguments);
         command.env("LB_CONFIG", "config.json").env("LB_LISTEN", address.to_string()).env_remove("RUST_LOG");
         command.envs(level.map(|level| ("RUST_LOG", level)));
@@ -68,8 +71,8 @@
     }
 
     fn ready(&self) {
-        let by = Instant::now() + LONG;
-        while !TcpStream::connect(self.address).is_ok_and(|stream| client(stream).tries_ping()) {
+        let by = Instant::now() + TEST_TIMEOUT;
+        while !TcpStream::connect(self.address).is_ok_and(|stream| client(stream).try_ping()) {
             assert!(Instant::now() < by, "it does not serve");
             thread::sleep(Duration::from_millis(5));
         }
@@ -100,7 +103,7 @@
 
     /// Its end once it was told to end; nothing where it does not end.
     fn ends(&mut self) -> Option<ExitStatus> {
-        let by = Instant::now() + LONG;
+        let by = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < by {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return Some(status);
@@ -124,7 +127,7 @@
 }
 
 fn folder(story: &str) -> PathBuf {
-    let folder = folders::own(env!("CARGO_TARGET_TMPDIR"), &format!("waiting-{story}"));
+    let folder = folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("waiting-{story}"));
     fs::create_dir_all(&folder).unwrap();
     folder
 }
@@ -138,7 +141,7 @@
 }
 
 fn client(stream: TcpStream) -> Client {
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     Client(stream)
 }
 
@@ -149,19 +152,19 @@
     (read, write)
 }
 
-fn engine() -> Standin {
-    Standin::start(|call| pages(call, &[ROWS]))
+fn engine() -> StandinServer {
+    StandinServer::start(|call| result_page(call, &[ROWS]))
 }
 
-fn config(engine: &Standin) -> String {
-    told(&[engine.address], Events::default().serve().address, 1024)
+fn config(engine: &StandinServer) -> String {
+    router_config(&[engine.address], DiscoveryEvents::default().serve().address, 1024)
 }
 
 /// Asks so many requests one after another, numbered behind `after`; each is answered.
 fn serves(client: &mut Client, after: u32, count: u32, case: &str) {
     for number in after + 1..=after + count {
-        client.asks(number, "look", 4_000);
-        let answered = hear(&mut client.0, number);
+        client.send_job(number, "look", 4_000);
+        let answered = receive_answer(&mut client.0, number);
         assert!(answered.is_ok(), "{case}: {} of {count} answered: {answered:?}", number - after - 1);
     }
 }
@@ -185,16 +188,16 @@
     const IN_FLIGHT: u32 = 20;
     let slow = |call: &Call| {
         let delay = if call.line.starts_with("POST") { Duration::from_millis(300) } else { Duration::ZERO };
-        Says::Late(delay, Box::new(pages(call, &[ROWS])))
+        Response::Delayed(delay, Box::new(result_page(call, &[ROWS])))
     };
-    let (engine, (_unread, log)) = (Standin::start(slow), pipe(SMALL_PIPE));
+    let (engine, (_unread, log)) = (StandinServer::start(slow), pipe(SMALL_PIPE));
     let mut router = Router::start("unread-shutdown", &config(&engine), log.into(), Some("debug"));
     let mut client = router.client();
     for number in 1..=IN_FLIGHT {
-        client.asks(number, "look", 20_000);
+        client.send_job(number, "look", 20_000);
     }
     router.signal(Signal::TERM);
-    let mut answered: Vec<u32> = (0..IN_FLIGHT).map(|_| client.hears().0).collect();
+    let mut answered: Vec<u32> = (0..IN_FLIGHT).map(|_| client.receive().0).collect();
     answered.sort_unstable();
     assert!(answered.iter().copied().eq(1..=IN_FLIGHT), "{answered:?}");
     assert!(router.ends().is_some_and(|status| status.success()), "it does not end in order");
@@ -221,27 +224,27 @@
     let mut client = router.client();
     let sent = Instant::now();
     for number in 1..=BURST {
-        client.asks(number, "look", WAIT);
+        client.send_job(number, "look", WAIT);
     }
     let mut in_time = 0;
     for _ in 0..BURST {
-        in_time += u32::from(client.hears().1.is_ok());
+        in_time += u32::from(client.receive().1.is_ok());
     }
     assert_eq!(in_time, BURST, "served, the last after {:?}", sent.elapsed());
-    engine.had("POST");
+    engine.received_calls("POST");
     // The process stands while a request waits in its socket: that time is off what is passed on.
     router.signal(Signal::STOP);
     let sent = Instant::now();
-    client.asks(BURST + 1, "look", WAIT);
+    client.send_job(BURST + 1, "look", WAIT);
     thread::sleep(Duration::from_millis(1_000));
     let passed = sent.elapsed();
     router.signal(Signal::CONT);
-    let call = engine.awaits("POST");
+    let call = engine.wait_for_call("POST");
     let left = call.fields.iter().find_map(|field| field.strip_prefix("X-Patience: ")).unwrap();
     let left = Duration::from_millis(left.parse().unwrap());
     let most = Duration::from_millis(WAIT.into()).saturating_sub(passed) + SLACK;
     assert!(left <= most, "told {left:?}, the client has {most:?} at the most, slack and all");
-    assert_eq!(client.hears(), (BURST + 1, Ok(ROWS.to_owned())));
+    assert_eq!(client.receive(), (BURST + 1, Ok(ROWS.to_owned())));
 }
 
 /// What is lost is told, and what is kept comes whole and in order; errors of a burst go before the rest.
@@ -316,7 +319,7 @@
     serves(&mut router.client(), 0, 1, "before");
     let threads = router.threads();
     for reloads in RELOADS {
-        let (new_discovery, mut client) = (Events::default().serve(), router.client());
+        let (new_discovery, mut client) = (DiscoveryEvents::default().serve(), router.client());
         router.replace_by_fifo("config.json");
         for reload in 0..reloads {
             router.signal(Signal::HUP);
@@ -328,11 +331,11 @@
             router.threads()
         );
         let good = router.folder.join("good.json");
-        fs::write(&good, told(&[engine.address], new_discovery.address, 1024)).unwrap();
+        fs::write(&good, router_config(&[engine.address], new_discovery.address, 1024)).unwrap();
         router.replace_config(&good);
         router.signal(Signal::HUP);
-        let call = new_discovery.awaits("GET /bulletins");
-        assert_eq!(asked(&call, "after"), 1, "numbers go on");
+        let call = new_discovery.wait_for_call("GET /bulletins");
+        assert_eq!(query_param(&call, "after"), 1, "numbers go on");
         serves(&mut router.client(), 1_000 + reloads, 10, "after the good reload");
     }
     router.stops_in_order();
@@ -405,7 +408,7 @@
     fs::write(folder.join("config.json"), config(&engine)).unwrap();
     fifo(&folder.join("site.jsonnet"));
     let mut router = Router::inside(folder, Stdio::null(), None, &["run", "--operator", "site.jsonnet"]);
-    let (by, id) = (Instant::now() + LONG, router.child.id());
+    let (by, id) = (Instant::now() + TEST_TIMEOUT, router.child.id());
     let evaluation = loop {
         if let Some(child) = children(id).pop() {
             break PathBuf::from(format!("/proc/{child}"));
@@ -415,7 +418,7 @@
     };
     router.awaits_handlers();
     router.stops_in_order();
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TEST_TIMEOUT;
     while evaluation.exists() {
         assert!(Instant::now() < by, "the evaluation goes on");
         thread::sleep(Duration::from_millis(20));
@@ -434,7 +437,7 @@
 impl Router {
     /// Waits until it catches SIGTERM.
     fn awaits_handlers(&self) {
-        let by = Instant::now() + LONG;
+        let by = Instant::now() + TEST_TIMEOUT;
         let status = format!("/proc/{}/status", self.child.id());
         let catches = |text: String| {
             let caught = text.lines().find_map(|line| line.strip_prefix("SigCgt:")).unwrap_or("0");
--- a/crates/standins/examples/accord_scale.rs
+++ b/crates/standins/examples/accord_scale.rs
@@ -1,8 +1,8 @@
 //! What agreement costs each instance on the virtual network, and how long all take to act on the first state:
 //! `cargo run --release -p woadhook-standins --example accord_scale -- 10 40 400`. Rates are for a second and instance.
 
-use woadhook_standins::cluster::{Cluster, secs, usual_accord, usual_pace};
-use woadhook_standins::net::Weather;
+use woadhook_standins::cluster::{Cluster, default_accord_config, default_gossip_config, secs};
+use woadhook_standins::net::NetworkConditions;
 
 const SPAN: f64 = 16.0;
 
@@ -25,20 +25,20 @@
 fn main() {
     let counts: Vec<usize> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
     for count in counts {
-        let mut cluster = Cluster::new(7, count, Weather::calm(), usual_pace());
-        cluster.acquaint();
-        cluster.pass(secs(5.0));
+        let mut cluster = Cluster::new(7, count, NetworkConditions::reliable(), default_gossip_config());
+        cluster.introduce_all();
+        cluster.run_for(secs(5.0));
         let before = sent(&cluster);
-        cluster.pass(secs(SPAN));
+        cluster.run_for(secs(SPAN));
         let calm = sent(&cluster);
         let voters: Vec<usize> = (0..5).map(|voter| voter * count / 5).collect();
-        cluster.order(1, &voters, usual_accord());
-        let took = cluster.until(secs(60.0), |cluster| cluster.acting() == count);
-        let (from, acting) = (sent(&cluster), cluster.acting());
+        cluster.issue_voter_set(1, &voters, default_accord_config());
+        let took = cluster.run_until(secs(60.0), |cluster| cluster.acting_count() == count);
+        let (from, acting) = (sent(&cluster), cluster.acting_count());
         let mut least = count;
         for _ in 0..SPAN as usize {
-            cluster.pass(secs(1.0));
-            least = least.min(cluster.acting());
+            cluster.run_for(secs(1.0));
+            least = least.min(cluster.acting_count());
         }
         let after = sent(&cluster);
         let [d0, _, b0, _] = rates(&before, &calm, SPAN);
--- a/crates/standins/examples/gossip_scale.rs
+++ b/crates/standins/examples/gossip_scale.rs
@@ -5,8 +5,8 @@
 
 use woadhook::Span;
 use woadhook_gossip::EngineCondition;
-use woadhook_standins::cluster::{Cluster, secs, usual_pace};
-use woadhook_standins::net::Weather;
+use woadhook_standins::cluster::{Cluster, default_gossip_config, secs};
+use woadhook_standins::net::NetworkConditions;
 
 /// One instance in four is kept out of the figures, as churn ends and starts it.
 fn counted(node: usize) -> bool {
@@ -30,7 +30,7 @@
     let count = cluster.running().filter(|(node, _)| counted(*node)).count() as f64;
     for second in 0..span.secs() as u64 {
         each_second(cluster, second);
-        cluster.pass(secs(1.0));
+        cluster.run_for(secs(1.0));
     }
     let after = sums(cluster);
     let rate = |place: usize| (after[place] - before[place]).max(0.0) / count / span.secs();
@@ -50,54 +50,54 @@
     for count in std::env::args().skip(1).filter_map(|word| word.parse::<usize>().ok()) {
         let calm_for = if count > 1000 { secs(4.0) } else { secs(20.0) };
         let empty = memory();
-        let mut cluster = Cluster::new(1, count, Weather::calm(), usual_pace());
-        cluster.list(&["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"]);
-        cluster.acquaint();
+        let mut cluster = Cluster::new(1, count, NetworkConditions::reliable(), default_gossip_config());
+        cluster.set_engines(&["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"]);
+        cluster.introduce_all();
         println!(
             "## {count} instances\nheld: {:.0} KB an instance",
             (memory() - empty) / count as f64 / 1024.0
         );
         // Until the cards of the start have been told.
-        cluster.pass(if count > 1000 { secs(4.0) } else { secs(20.0) });
+        cluster.run_for(if count > 1000 { secs(4.0) } else { secs(20.0) });
         println!("a second and instance: datagrams sent | bytes sent | datagrams received | checks");
         println!("calm: {}", rates(&mut cluster, calm_for, |_, _| ()));
         let started = Instant::now();
         let before = sums(&cluster);
-        cluster.pass(secs(1.0));
+        cluster.run_for(secs(1.0));
         let received = (sums(&cluster)[2] - before[2]) * count as f64
             / (0..count).filter(|node| counted(*node)).count() as f64;
         println!(
             "CPU a datagram received, sending and network and all: {:.0} us",
             started.elapsed().as_secs_f64() * 1e6 / received.max(1.0)
         );
-        cluster.at(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
+        cluster.with_core(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
         let heard = |cluster: &Cluster| {
-            (0..count).filter(|node| *node != 1 && cluster.doubt(*node, "e-2") > 0.0).count()
+            (0..count).filter(|node| *node != 1 && cluster.suspicion(*node, "e-2") > 0.0).count()
         };
         println!(
             "a word reaches half: {}",
-            shown(cluster.until(secs(10.0), |cluster| heard(cluster) * 2 >= count - 1))
+            shown(cluster.run_until(secs(10.0), |cluster| heard(cluster) * 2 >= count - 1))
         );
         println!(
             "and all, after that: {}",
-            shown(cluster.until(secs(20.0), |cluster| heard(cluster) == count - 1))
+            shown(cluster.run_until(secs(20.0), |cluster| heard(cluster) == count - 1))
         );
-        cluster.at(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Well));
+        cluster.with_core(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Well));
         cluster.kill(2);
         let knows =
             |cluster: &Cluster| cluster.running().filter(|(_, core)| core.live_members() < count).count();
         println!(
             "a crashed instance is gone at half: {}",
-            shown(cluster.until(secs(60.0), |cluster| knows(cluster) * 2 >= count - 1))
+            shown(cluster.run_until(secs(60.0), |cluster| knows(cluster) * 2 >= count - 1))
         );
         println!(
             "and at all, after that: {}",
-            shown(cluster.until(secs(60.0), |cluster| knows(cluster) == count - 1))
+            shown(cluster.run_until(secs(60.0), |cluster| knows(cluster) == count - 1))
         );
         cluster.start(2);
         println!(
             "and back at all: {}",
-            shown(cluster.until(secs(120.0), |cluster| {
+            shown(cluster.run_until(secs(120.0), |cluster| {
                 cluster.running().all(|(_, core)| core.live_members() == count)
             }))
         );
@@ -110,14 +110,17 @@
             })
         );
         if count <= 400 {
-            let _ = cluster.until(secs(60.0), Cluster::agree);
+            let _ = cluster.run_until(secs(60.0), Cluster::views_agree);
             for node in 0..count / 2 {
                 let place = cluster.nodes[node].address;
-                cluster.net.part(place, 1);
+                cluster.net.set_partition(place, 1);
             }
-            cluster.pass(secs(20.0));
+            cluster.run_for(secs(20.0));
             cluster.net.heal();
-            println!("halves agree again after: {}", shown(cluster.until(secs(300.0), Cluster::agree)));
+            println!(
+                "halves agree again after: {}",
+                shown(cluster.run_until(secs(300.0), Cluster::views_agree))
+            );
         }
         let most = cluster.running().map(|(_, core)| core.counters().sends_over_budget).max();
         println!("most sends held back by the budget at one instance: {}", most.unwrap_or(0));
--- a/crates/standins/examples/hearsay.rs
+++ b/crates/standins/examples/hearsay.rs
@@ -4,27 +4,27 @@
 use woadhook::Span;
 use woadhook_gossip::EngineCondition;
 use woadhook_standins::cluster::secs;
-use woadhook_standins::world::{Fate, World};
+use woadhook_standins::simulation::{EngineState, Simulation};
 
 const SEEDS: u64 = 40;
-const FATES: [Fate; 2] = [Fate::Silent, Fate::Dead];
+const FATES: [EngineState; 2] = [EngineState::Silent, EngineState::Dead];
 
 /// Over all seeds: dispatches of the quiet router to the engine that went bad, its jobs that were not done, and its mean
 /// and longest time of done jobs in milliseconds, in the ten seconds after.
-fn quiet(rate: f64, fate: Fate, talks: bool) -> (usize, usize, f64, f64) {
+fn quiet(rate: f64, fate: EngineState, talks: bool) -> (usize, usize, f64, f64) {
     let (mut sends, mut lost, mut mean, mut longest) = (0, 0, 0.0, 0.0_f64);
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, 6, &[42.0, 42.0, rate], talks);
-        world.loads = 4;
-        world.pass(secs(8.0));
+        let mut world = Simulation::new(seed, 6, &[42.0, 42.0, rate], talks);
+        world.load_interval = 4;
+        world.run_for(secs(8.0));
         let at = world.now();
-        world.turns(Span::ZERO, 2, fate);
-        world.pass(secs(16.0));
-        assert_eq!(world.broken(), Vec::<String>::new());
-        sends += world.sends(2, 2, at, at + secs(10.0));
-        let [_, throttled, cancelled, _] = world.tally(2, at, at + secs(10.0));
+        world.set_engine_state_after(Span::ZERO, 2, fate);
+        world.run_for(secs(16.0));
+        assert_eq!(world.violations(), Vec::<String>::new());
+        sends += world.dispatch_count(2, 2, at, at + secs(10.0));
+        let [_, throttled, cancelled, _] = world.job_outcomes(2, at, at + secs(10.0));
         lost += throttled + cancelled;
-        let (usual, most) = world.times(2, at, at + secs(10.0));
+        let (usual, most) = world.answer_times(2, at, at + secs(10.0));
         mean += usual.secs() * 1e3 / SEEDS as f64;
         longest = longest.max(most.secs() * 1e3);
     }
@@ -37,8 +37,8 @@
     for seed in 0..10 {
         let mut rates = vec![11.0; 8];
         rates.extend(vec![0.0; liars]);
-        let mut world = World::new(seed, 6, &rates, true);
-        world.pass(secs(5.0));
+        let mut world = Simulation::new(seed, 6, &rates, true);
+        world.run_for(secs(5.0));
         let from = world.now();
         for turn in 0..20 {
             for liar in 8..8 + liars {
@@ -48,17 +48,19 @@
                     } else {
                         EngineCondition::Silent
                     };
-                    world.cluster.at(liar, |now, core| core.engine_judged(now, &format!("s-{engine}"), seen));
+                    world
+                        .cluster
+                        .with_core(liar, |now, core| core.engine_judged(now, &format!("s-{engine}"), seen));
                 }
             }
-            world.pass(secs(0.5));
+            world.run_for(secs(0.5));
         }
-        assert_eq!(world.broken(), Vec::<String>::new());
+        assert_eq!(world.violations(), Vec::<String>::new());
         for engine in 0..6 {
-            worst = worst.max(world.idle(engine, from, world.now()).secs());
+            worst = worst.max(world.longest_idle(engine, from, world.now()).secs());
         }
         lost += (0..8)
-            .map(|router| world.tally(router, from, world.now()))
+            .map(|router| world.job_outcomes(router, from, world.now()))
             .map(|[_, t, c, _]| t + c)
             .sum::<usize>();
     }
--- a/crates/standins/examples/listed.rs
+++ b/crates/standins/examples/listed.rs
@@ -14,7 +14,7 @@
 use async_io::{Async, block_on};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use hdrhistogram::Histogram;
-use woadhook_standins::{Client, Events, told};
+use woadhook_standins::{Client, DiscoveryEvents, router_config};
 
 const CLIENTS: usize = 8;
 const DESCRIPTORS: usize = 4_096;
@@ -114,7 +114,7 @@
     let reading = thread::spawn(move || {
         let (mut latencies, mut failed) = (Vec::new(), 0);
         for _ in 0..jobs {
-            let (number, result) = reader.hears();
+            let (number, result) = reader.receive();
             let due = known.lock().expect("no panic").remove(&number).expect("a job that was asked");
             latencies.push(due.elapsed().as_micros() as u64);
             failed += usize::from(result.is_err());
@@ -129,7 +129,7 @@
         asked.lock().expect("no panic").insert(job, due);
         let id = format!("{number:08x}{job:08x}");
         let message =
-            Client::message(job, "look", &id, 10_000, &format!("select 1 from sales_{}.x", job % 64));
+            Client::encode_job(job, "look", &id, 10_000, &format!("select 1 from sales_{}.x", job % 64));
         writer.write_all(&message).expect("a connection that stays");
     }
     reading.join().expect("answers")
@@ -138,7 +138,10 @@
 /// MB at rest, CPU us a job, cores in use, p50 and p99 in ms, MB behind the jobs, failed jobs.
 fn run(path: &str, engines: usize, jobs: usize, rate: f64) -> [f64; 7] {
     let engines = addresses(serve_engines(), engines);
-    let program = Program::start(path, &told(&engines, Events::default().serve().address, DESCRIPTORS));
+    let program = Program::start(
+        path,
+        &router_config(&engines, DiscoveryEvents::default().serve().address, DESCRIPTORS),
+    );
     let (rest, before, started) = (program.memory(), program.processor(), Instant::now());
     let (address, own_jobs, own_rate) = (program.address, (jobs / CLIENTS) as u32, rate / CLIENTS as f64);
     let clients: Vec<_> = (0..CLIENTS)
--- a/crates/standins/examples/scale/changes.rs
+++ b/crates/standins/examples/scale/changes.rs
@@ -3,8 +3,8 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-use woadhook_standins::hollow::engines::HollowEngines;
-use woadhook_standins::{Events, member};
+use woadhook_standins::lightweight::engines::LightweightEngines;
+use woadhook_standins::{DiscoveryEvents, roster_member};
 
 /// Events that were told before: the whole list.
 pub const FIRST: u64 = 1;
@@ -14,15 +14,15 @@
 
 /// Tells changes, one number after another.
 pub struct Changes<'a> {
-    events: Events,
-    engines: &'a HollowEngines,
+    events: DiscoveryEvents,
+    engines: &'a LightweightEngines,
     /// The engine that joins and leaves: the first that the list does not hold.
     spare: usize,
     last: u64,
 }
 
 impl<'a> Changes<'a> {
-    pub fn new(events: Events, engines: &'a HollowEngines, spare: usize) -> Self {
+    pub fn new(events: DiscoveryEvents, engines: &'a LightweightEngines, spare: usize) -> Self {
         Self { events, engines, spare, last: FIRST }
     }
 
@@ -34,7 +34,7 @@
         let name = format!("spare-{}", self.last / 2);
         let phase = if joins { "SERVING" } else { "DELETED" };
         let at = Instant::now();
-        self.events.add(self.last, vec![member(&name, self.engines.address(self.spare), phase)]);
+        self.events.add(self.last, vec![roster_member(&name, self.engines.address(self.spare), phase)]);
         (self.last, at)
     }
 
--- a/crates/standins/examples/scale/load.rs
+++ b/crates/standins/examples/scale/load.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use woadhook_standins::{Client, LONG, clients};
+use woadhook_standins::{Client, TEST_TIMEOUT, clients};
 
 /// Latencies in microseconds: least, most, and significant digits.
 const LEAST: u64 = 1;
@@ -54,7 +54,7 @@
 }
 
 fn ping(client: &mut Client) -> io::Result<()> {
-    if !client.tries_ping() {
+    if !client.try_ping() {
         return Err(io::Error::other("no answer to a ping"));
     }
     // What of the answer the look at it left.
@@ -169,13 +169,13 @@
     };
     let fields = [("id", id), ("wait", WAIT_MS), ("cost", COST_MS), ("ram", RAM_MB)];
     let text = format!("select 1 from sales_{group}.x");
-    stream.write_all(&Client::request(number, "look", &fields, &text))?;
-    clients::hear(stream, number)
+    stream.write_all(&Client::encode_request(number, "look", &fields, &text))?;
+    clients::receive_answer(stream, number)
 }
 
 fn connect(router: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(router)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(LONG))?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     Ok(stream)
 }
--- a/crates/standins/examples/scale/main.rs
+++ b/crates/standins/examples/scale/main.rs
@@ -1,5 +1,5 @@
 //! What a router costs as one axis grows: `cargo run --release -p woadhook-standins --example scale -- engines` (or clients, jobs,
-//! events, routers, members; `--help` tells the rest). Real routers, processes of the built program, stand on loopback beside hollow
+//! events, routers, members; `--help` tells the rest). Real routers, processes of the built program, stand on loopback beside lightweight
 //! parties in this process; members stand on the virtual network. Prints a table, writes a CSV, a line for each measure and its
 //! plot.
 //!
@@ -31,7 +31,7 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use woadhook_standins::hollow::engines::HollowEngines;
+use woadhook_standins::lightweight::engines::LightweightEngines;
 
 use crate::arguments::{Arguments, Axis};
 use crate::limits::Machine;
@@ -100,6 +100,6 @@
     axis: Axis, size: usize, program: &Path, folder: &Path, seed: u64,
 ) -> Result<Measured, Box<dyn Error>> {
     let Some(setup) = Setup::of(axis, size) else { return Ok(members::measure(size, seed)?) };
-    let engines = HollowEngines::start(setup.engines + SPARE_ENGINES)?;
+    let engines = LightweightEngines::start(setup.engines + SPARE_ENGINES)?;
     Ok(measure::measure(&setup, &engines, program, folder, seed)?)
 }
--- a/crates/standins/examples/scale/measure.rs
+++ b/crates/standins/examples/scale/measure.rs
@@ -1,4 +1,4 @@
-//! Measures one point on loopback: real routers between hollow clients, engines and discovery.
+//! Measures one point on loopback: real routers between lightweight clients, engines and discovery.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use woadhook_standins::hollow::discovery::HollowDiscovery;
-use woadhook_standins::hollow::engines::HollowEngines;
-use woadhook_standins::processes::Process;
-use woadhook_standins::{Events, told};
+use woadhook_standins::lightweight::discovery::LightweightDiscovery;
+use woadhook_standins::lightweight::engines::LightweightEngines;
+use woadhook_standins::processes::RouterProcess;
+use woadhook_standins::{DiscoveryEvents, router_config};
 
 use crate::changes::{Changes, Told};
 use crate::load::{Answers, AtRest, Load};
@@ -85,9 +85,9 @@
 /// The parties of one point.
 struct Site<'a> {
     setup: &'a Setup,
-    engines: &'a HollowEngines,
-    feeds: Vec<HollowDiscovery>,
-    routers: Vec<Process>,
+    engines: &'a LightweightEngines,
+    feeds: Vec<LightweightDiscovery>,
+    routers: Vec<RouterProcess>,
     /// By router.
     at_rest: Vec<AtRest>,
     changes: Changes<'a>,
@@ -104,7 +104,7 @@
 
 /// Measures one point. A note on what went wrong with jobs goes to the standard error.
 pub fn measure(
-    setup: &Setup, engines: &HollowEngines, program: &Path, folder: &Path, seed: u64,
+    setup: &Setup, engines: &LightweightEngines, program: &Path, folder: &Path, seed: u64,
 ) -> io::Result<Measured> {
     let mut site = Site::start(setup, engines, program, folder, seed);
     site.open_clients()?;
@@ -122,18 +122,27 @@
 }
 
 impl<'a> Site<'a> {
-    fn start(setup: &'a Setup, engines: &'a HollowEngines, program: &Path, folder: &Path, seed: u64) -> Self {
-        engines.report(setup.busy);
-        let events = Events::default();
-        let feeds: Vec<_> = (0..setup.routers).map(|_| HollowDiscovery::start(events.clone())).collect();
+    fn start(
+        setup: &'a Setup, engines: &'a LightweightEngines, program: &Path, folder: &Path, seed: u64,
+    ) -> Self {
+        engines.set_reported_load(setup.busy);
+        let events = DiscoveryEvents::default();
+        let feeds: Vec<_> = (0..setup.routers).map(|_| LightweightDiscovery::start(events.clone())).collect();
         let listed: Vec<SocketAddr> = (0..setup.engines).map(|engine| engines.address(engine)).collect();
         let program = program.to_string_lossy();
-        let start = |(number, feed): (usize, &HollowDiscovery)| {
+        let start = |(number, feed): (usize, &LightweightDiscovery)| {
             let given = configuration(setup, &listed, number, feed.address, seed);
-            Process::logging(LOG_LEVEL, &program, &[], folder, &format!("n{number}"), &given)
+            RouterProcess::start_with_log_level(
+                LOG_LEVEL,
+                &program,
+                &[],
+                folder,
+                &format!("n{number}"),
+                &given,
+            )
         };
-        let routers: Vec<Process> = feeds.iter().enumerate().map(start).collect();
-        routers.iter().for_each(Process::ready);
+        let routers: Vec<RouterProcess> = feeds.iter().enumerate().map(start).collect();
+        routers.iter().for_each(RouterProcess::wait_until_ready);
         let changes = Changes::new(events, engines, setup.engines);
         Self { setup, engines, feeds, routers, at_rest: Vec::new(), changes, seed }
     }
@@ -235,7 +244,7 @@
     }
 
     fn one_in_force(&self, (event, at): Told) -> io::Result<f64> {
-        let everywhere = || self.feeds.iter().map(|feed| feed.in_force(event)).collect::<Option<Vec<_>>>();
+        let everywhere = || self.feeds.iter().map(|feed| feed.applied_at(event)).collect::<Option<Vec<_>>>();
         loop {
             if let Some(last) = everywhere().and_then(|moments| moments.into_iter().max()) {
                 return Ok(last.saturating_duration_since(at).as_secs_f64() * MICROS_IN_MILLI);
@@ -257,8 +266,8 @@
     }
 
     fn reading(&self) -> io::Result<Reading> {
-        let probes = self.engines.total();
-        let traffic: Vec<(u64, u64)> = self.feeds.iter().map(HollowDiscovery::traffic).collect();
+        let probes = self.engines.total_counts();
+        let traffic: Vec<(u64, u64)> = self.feeds.iter().map(LightweightDiscovery::traffic).collect();
         let sent = probes.probe_bytes + traffic.iter().map(|(received, _)| received).sum::<u64>();
         let received = probes.report_bytes + traffic.iter().map(|(_, sent)| sent).sum::<u64>();
         let cpu_us = self.sum(process::cpu_us)?;
@@ -276,7 +285,7 @@
 fn configuration(
     setup: &Setup, engines: &[SocketAddr], number: usize, discovery: SocketAddr, seed: u64,
 ) -> String {
-    let text = told(engines, discovery, setup.descriptors);
+    let text = router_config(engines, discovery, setup.descriptors);
     let mut given: Value = serde_json::from_str(&text).expect("a configuration");
     given["seed"] = json!(format!("{:016x}", seed.wrapping_add(number as u64)));
     given["limits"]["memory_mb"] = json!(MEMORY_MB);
--- a/crates/standins/examples/scale/members.rs
+++ b/crates/standins/examples/scale/members.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use woadhook_gossip::EngineCondition;
-use woadhook_standins::cluster::{Cluster, secs, usual_pace};
-use woadhook_standins::net::Weather;
+use woadhook_standins::cluster::{Cluster, default_gossip_config, secs};
+use woadhook_standins::net::NetworkConditions;
 
 use crate::measure::{Measure, Measured};
 use crate::process;
@@ -29,10 +29,10 @@
 pub fn measure(count: usize, seed: u64) -> io::Result<Measured> {
     warm_up(seed);
     let empty_kb = process::memory_kb(id())?;
-    let mut cluster = Cluster::new(seed, count, Weather::calm(), usual_pace());
-    cluster.list(&ENGINES);
-    cluster.acquaint();
-    cluster.pass(secs(SETTLE_SECS));
+    let mut cluster = Cluster::new(seed, count, NetworkConditions::reliable(), default_gossip_config());
+    cluster.set_engines(&ENGINES);
+    cluster.introduce_all();
+    cluster.run_for(secs(SETTLE_SECS));
     let mut measured = Measured::new();
     let memory_kb = process::memory_kb(id())? - empty_kb;
     measured.insert(Measure::Memory, memory_kb.max(0.0) / count as f64);
@@ -46,16 +46,16 @@
 
 /// What the process takes once, whatever the count, is not to be the first point's.
 fn warm_up(seed: u64) {
-    let mut cluster = Cluster::new(seed, FEW, Weather::calm(), usual_pace());
-    cluster.acquaint();
-    cluster.pass(secs(SETTLE_SECS));
+    let mut cluster = Cluster::new(seed, FEW, NetworkConditions::reliable(), default_gossip_config());
+    cluster.introduce_all();
+    cluster.run_for(secs(SETTLE_SECS));
     mem::forget(cluster);
 }
 
 fn calm(cluster: &mut Cluster, measured: &mut Measured) -> io::Result<()> {
     let count = cluster.running().count() as f64;
     let (before, before_us, started) = (bytes(cluster), process::cpu_us(id())?, Instant::now());
-    cluster.pass(secs(CALM_SECS));
+    cluster.run_for(secs(CALM_SECS));
     let (after, after_us) = (bytes(cluster), process::cpu_us(id())?);
     let rate = |from: f64, to: f64| (to - from) / CALM_SECS / count;
     measured.insert(Measure::CpuAtRest, rate(before_us, after_us));
@@ -75,9 +75,10 @@
 
 /// Until all have heard what one saw, in milliseconds.
 fn spread(cluster: &mut Cluster) -> Option<f64> {
-    cluster.at(WITNESS, |now, core| core.engine_judged(now, ENGINE, EngineCondition::Silent));
+    cluster.with_core(WITNESS, |now, core| core.engine_judged(now, ENGINE, EngineCondition::Silent));
     let others =
         |cluster: &Cluster| (0..cluster.nodes.len()).filter(|node| *node != WITNESS).collect::<Vec<_>>();
-    let all = |cluster: &Cluster| others(cluster).into_iter().all(|node| cluster.doubt(node, ENGINE) > 0.0);
-    Some(cluster.until(secs(SPREAD_SECS), all)?.secs() * MILLIS)
+    let all =
+        |cluster: &Cluster| others(cluster).into_iter().all(|node| cluster.suspicion(node, ENGINE) > 0.0);
+    Some(cluster.run_until(secs(SPREAD_SECS), all)?.secs() * MILLIS)
 }
--- a/crates/standins/examples/silent_engine.rs
+++ b/crates/standins/examples/silent_engine.rs
@@ -12,8 +12,12 @@
 use woadhook_gossip::keys::{Identity, Pass};
 use woadhook_router::gossip::GossipSetup;
 use woadhook_router::keyfiles::Keys;
-use woadhook_standins::cluster::{operator, ring, secret, tag, usual_accord, usual_pace};
-use woadhook_standins::{Client, Events, Running, Says, Standin, pages, told};
+use woadhook_standins::cluster::{
+    cluster_id, default_accord_config, default_gossip_config, operator_key, secret_key, trust_store,
+};
+use woadhook_standins::{
+    Client, DiscoveryEvents, Response, RouterThread, StandinServer, result_page, router_config,
+};
 
 const BEFORE: Duration = Duration::from_secs(5);
 const AFTER: Duration = Duration::from_secs(12);
@@ -25,19 +29,20 @@
 }
 
 fn talk(number: u64, socket: UdpSocket, seeds: Vec<SocketAddr>) -> GossipSetup {
-    let secret = secret(number);
+    let secret = secret_key(number);
     let until = now() + Span::from_secs(3600.0);
     let name = format!("n{number}");
-    let pass = Pass::issue(&operator(), &name, secret.public(), tag(), now(), until).expect("a pass");
-    let identity = Identity::new(secret, pass, &ring(), now()).expect("an identity");
+    let pass =
+        Pass::issue(&operator_key(), &name, secret.public(), cluster_id(), now(), until).expect("a pass");
+    let identity = Identity::new(secret, pass, &trust_store(), now()).expect("an identity");
     let address = socket.local_addr().expect("an address");
     GossipSetup {
         socket,
-        keys: Keys { identity, ring: ring(), order: None },
+        keys: Keys { identity, ring: trust_store(), order: None },
         advertised_address: address,
         seeds,
-        pace: usual_pace(),
-        accord: usual_accord(),
+        pace: default_gossip_config(),
+        accord: default_accord_config(),
     }
 }
 
@@ -51,7 +56,7 @@
     let reading = thread::spawn(move || {
         (0..most)
             .map(|_| {
-                let (number, result) = reader.hears();
+                let (number, result) = reader.receive();
                 let at = known.lock().expect("no panic")[&number];
                 (at.duration_since(started).as_secs_f64(), result.ok().map(|_| at.elapsed().as_secs_f64()))
             })
@@ -61,7 +66,7 @@
         let due = started + Duration::from_secs_f64(f64::from(number) / rate);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         asked.lock().expect("no panic").insert(number, Instant::now());
-        writer.asks(number, "look", 4_000);
+        writer.send_job(number, "look", 4_000);
     }
     reading.join().expect("answers")
 }
@@ -69,15 +74,15 @@
 fn run(talks: bool) -> (f64, Vec<(usize, usize, f64)>) {
     let silent = Arc::new(AtomicBool::new(false));
     let late_sends = Arc::new(AtomicUsize::new(0));
-    let engines: Vec<Standin> = (0..6)
+    let engines: Vec<StandinServer> = (0..6)
         .map(|number| {
             let (silent, late_sends) = (silent.clone(), late_sends.clone());
-            Standin::start(move |call| {
+            StandinServer::start(move |call| {
                 if number == 2 && silent.load(Ordering::Relaxed) {
                     late_sends.fetch_add(usize::from(call.line.starts_with("POST")), Ordering::Relaxed);
-                    return Says::Nothing;
+                    return Response::NoResponse;
                 }
-                pages(call, &["a\tb\tc\n"])
+                result_page(call, &["a\tb\tc\n"])
             })
         })
         .collect();
@@ -85,14 +90,14 @@
     let sockets: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
     let seeds: Vec<SocketAddr> =
         sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect();
-    let routers: Vec<Running> = sockets
+    let routers: Vec<RouterThread> = sockets
         .into_iter()
         .enumerate()
         .map(|(number, socket)| {
-            let given = told(&addresses, Events::default().serve().address, 1024)
+            let given = router_config(&addresses, DiscoveryEvents::default().serve().address, 1024)
                 .replace("\"replicasOfMe\":1", "\"replicasOfMe\":3")
                 .replace("\"myNumber\":0", &format!("\"myNumber\":{number}"));
-            Running::talking(&given, talks.then(|| talk(number as u64, socket, seeds.clone())))
+            RouterThread::start_with_gossip(&given, talks.then(|| talk(number as u64, socket, seeds.clone())))
         })
         .collect();
     let started = Instant::now();
@@ -100,7 +105,7 @@
         .iter()
         .zip(RATES)
         .map(|(router, rate)| {
-            let client = Client::new(router);
+            let client = Client::connect(router);
             thread::spawn(move || load(client, rate, BEFORE + AFTER, started))
         })
         .collect();
--- a/crates/standins/examples/slow_peers.rs
+++ b/crates/standins/examples/slow_peers.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use woadhook_standins::{Client, Events, Says, Standin, pages, says, told};
+use woadhook_standins::{
+    Client, DiscoveryEvents, Response, StandinServer, response, result_page, router_config,
+};
 
 const FOR: Duration = Duration::from_secs(5);
 const USUAL: usize = 6;
@@ -90,7 +92,7 @@
     let reading = thread::spawn(move || {
         (0..most)
             .map(|_| {
-                let (number, result) = reader.hears();
+                let (number, result) = reader.receive();
                 let took = known.lock().expect("no panic")[&number].elapsed().as_micros() as u64;
                 if result.is_ok() { took } else { 20_000_000 }
             })
@@ -102,7 +104,7 @@
         thread::sleep(due.saturating_duration_since(Instant::now()));
         asked.lock().expect("no panic").insert(number, due);
         let id = format!("{client:08x}{number:08x}");
-        let message = Client::message(number, "look", &id, 10_000, "select 1 from sales_1.x");
+        let message = Client::encode_job(number, "look", &id, 10_000, "select 1 from sales_1.x");
         writer.0.write_all(&message).expect("a connection that stays");
     }
     reading.join().expect("answers")
@@ -110,7 +112,7 @@
 
 /// Trickles requests a byte at a time, takes a byte of each answer now and then, and comes back when it is dropped.
 fn slow(address: SocketAddr, over: &AtomicBool, number: usize) {
-    let message = Client::message(1, "look", &format!("{number:016x}"), 9_000, "select 1 from sales_1.x");
+    let message = Client::encode_job(1, "look", &format!("{number:016x}"), 9_000, "select 1 from sales_1.x");
     while !over.load(Ordering::Relaxed) {
         let Ok(mut stream) = TcpStream::connect(address) else { continue };
         let _ = stream.set_read_timeout(Some(Duration::from_millis(5)));
@@ -132,24 +134,25 @@
 
 fn run(path: &str, beside: Beside) -> (Histogram<u64>, (f64, f64, usize)) {
     let rows: &'static str = "a\tb\tc\n".repeat(500).leak();
-    let engines: Vec<Standin> = (0..6)
+    let engines: Vec<StandinServer> = (0..6)
         .map(|number| {
             let crawls = beside == Beside::ClientAndEngine && number == 0;
-            Standin::start(move |call| match call.line.split(' ').next() {
-                Some("POST") if crawls => says(200, &["X-Batches: 2"], rows),
-                Some("GET") if crawls && call.line.contains("/1 ") => Says::Slow(
+            StandinServer::start(move |call| match call.line.split(' ').next() {
+                Some("POST") if crawls => response(200, &["X-Batches: 2"], rows),
+                Some("GET") if crawls && call.line.contains("/1 ") => Response::InPieces(
                     200,
                     vec!["X-Batch: 1".to_owned()],
                     rows.into(),
                     100,
                     Duration::from_millis(20),
                 ),
-                _ => pages(call, &[rows, rows]),
+                _ => result_page(call, &[rows, rows]),
             })
         })
         .collect();
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
-    let program = Program::start(path, &told(&addresses, Events::default().serve().address, 1024));
+    let program =
+        Program::start(path, &router_config(&addresses, DiscoveryEvents::default().serve().address, 1024));
     let over = Arc::new(AtomicBool::new(false));
     let slow_ones = match beside {
         Beside::Nothing => 0,
--- a/crates/standins/examples/soak.rs
+++ b/crates/standins/examples/soak.rs
@@ -105,16 +105,19 @@
     program: &Path, folder: &Path, line: &Line, plan: &Plan, left_out: &mut BTreeMap<String, usize>,
 ) -> Result<Tally, String> {
     let _ = std::fs::remove_dir_all(folder);
-    let layout =
-        Layout { ordered: true, failing_calls: true, ..Layout::plain(line.processes as usize, ENGINES) };
+    let layout = Layout {
+        ordered: true,
+        failing_system_calls: true,
+        ..Layout::single_zone(line.processes as usize, ENGINES)
+    };
     let fleet = Fleet::start(&program.display().to_string(), folder, layout);
-    let played = fleet.overlap(plan);
-    for kind in played.left_out {
+    let played = fleet.run_plan(plan);
+    for kind in played.skipped {
         *left_out.entry(kind).or_default() += 1;
     }
-    for late in played.late {
+    for late in played.late_steps {
         println!("seed {}: the rig: {late}", plan.seed);
     }
-    fleet.settle();
+    fleet.wait_for_drains();
     fleet.verdict()
 }
--- a/crates/standins/src/calls.rs
+++ b/crates/standins/src/calls.rs
@@ -7,27 +7,29 @@
 use serde_json::Value;
 
 use crate::engines::Call;
-use crate::routers::told;
+use crate::routers::router_config;
 
 /// Whether a call starts a query.
-pub fn post(call: &Call) -> bool {
+pub fn is_post(call: &Call) -> bool {
     call.line.starts_with("POST")
 }
 
 /// Whether a call starts the query of the job with this number for its id.
-pub fn of_job(call: &Call, number: u32) -> bool {
+pub fn is_for_job(call: &Call, number: u32) -> bool {
     call.fields.contains(&format!("X-Trace: {number:016x}"))
 }
 
 /// What a router is told, changed.
-pub fn told_but(engines: &[SocketAddr], bulletin: SocketAddr, change: impl FnOnce(&mut Value)) -> String {
-    let mut given = serde_json::from_str(&told(engines, bulletin, 1024)).unwrap();
+pub fn modified_config(
+    engines: &[SocketAddr], bulletin: SocketAddr, change: impl FnOnce(&mut Value),
+) -> String {
+    let mut given = serde_json::from_str(&router_config(engines, bulletin, 1024)).unwrap();
     change(&mut given);
     given.to_string()
 }
 
 /// An address at which nothing listens.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
@@ -36,13 +38,13 @@
 pub struct FirstCall(Arc<Mutex<Option<Instant>>>);
 
 impl FirstCall {
-    pub fn note(&self, picked: bool) {
+    pub fn record(&self, picked: bool) {
         let mut at = self.0.lock().unwrap();
         *at = at.or(picked.then(Instant::now));
     }
 
     /// When it was, or this moment if that is earlier.
-    pub fn or_before(&self, moment: Instant) -> Instant {
+    pub fn at_or_before(&self, moment: Instant) -> Instant {
         self.0.lock().unwrap().map_or(moment, |at| at.min(moment))
     }
 
@@ -56,7 +58,7 @@
 pub struct LastCall(Arc<Mutex<Option<Instant>>>);
 
 impl LastCall {
-    pub fn note(&self, picked: bool) {
+    pub fn record(&self, picked: bool) {
         if picked {
             *self.0.lock().unwrap() = Some(Instant::now());
         }
