--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -9,36 +9,36 @@
 
 use woadhook_router::codec;
 
-use crate::LONG;
-use crate::routers::Running;
+use crate::TEST_TIMEOUT;
+use crate::routers::RouterThread;
 
 /// A client connection. What it is told is a result, or the word of an error.
 pub struct Client(pub TcpStream);
 
 impl Client {
-    pub fn new(router: &Running) -> Self {
+    pub fn connect(router: &RouterThread) -> Self {
         let stream = TcpStream::connect(router.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Self(stream)
     }
 
     /// One that takes little at a time.
-    pub fn narrow(router: &Running) -> Self {
+    pub fn with_small_receive_buffer(router: &RouterThread) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2_048).unwrap();
         socket.connect(&router.address.into()).unwrap();
         let stream: TcpStream = socket.into();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Self(stream)
     }
 
-    pub fn message(number: u32, class: &str, id: &str, wait: u32, statement: &str) -> Vec<u8> {
+    pub fn encode_job(number: u32, class: &str, id: &str, wait: u32, statement: &str) -> Vec<u8> {
         let fields = [("id", id), ("wait", &wait.to_string()), ("cost", "10.5"), ("ram", "16")];
-        Self::request(number, class, &fields, statement)
+        Self::encode_request(number, class, &fields, statement)
     }
 
     /// A request with such fields.
-    pub fn request(number: u32, class: &str, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
+    pub fn encode_request(number: u32, class: &str, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
         let mut bytes = vec![0x94, 0x00];
         rmp::encode::write_uint(&mut bytes, number.into()).unwrap();
         rmp::encode::write_str(&mut bytes, class).unwrap();
@@ -53,30 +53,30 @@
     }
 
     /// Goes with a reset.
-    pub fn resets(self) {
+    pub fn reset(self) {
         let socket = Socket::from(self.0);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    pub fn asks(&mut self, number: u32, class: &str, wait: u32) {
+    pub fn send_job(&mut self, number: u32, class: &str, wait: u32) {
         let message =
-            Self::message(number, class, &format!("{number:016x}"), wait, "select 1 from sales_1.x");
+            Self::encode_job(number, class, &format!("{number:016x}"), wait, "select 1 from sales_1.x");
         self.0.write_all(&message).unwrap();
     }
 
-    pub fn aborts(&mut self, number: u8) {
+    pub fn send_abort(&mut self, number: u8) {
         self.0.write_all(&[&[0x93, 0x02, 0xa5], &b"abort"[..], &[0x91, number]].concat()).unwrap();
     }
 
-    pub fn pings(&mut self, number: u8) -> bool {
+    pub fn ping(&mut self, number: u8) -> bool {
         self.0.write_all(&[&[0x94, 0x00, number, 0xa4], &b"ping"[..], &[0x91, 0x80]].concat()).unwrap();
-        let (answered, result) = self.hears();
+        let (answered, result) = self.receive();
         assert_eq!(answered, u32::from(number));
         result.unwrap() == "true"
     }
 
     /// Whether a ping is answered with true; an end of the connection is none.
-    pub fn tries_ping(&mut self) -> bool {
+    pub fn try_ping(&mut self) -> bool {
         let ping = [&[0x94, 0x00, 1, 0xa4], &b"ping"[..], &[0x91, 0x80]].concat();
         let mut answer = [0; 6];
         // [1, 1, nil, [true, ...: the fourth byte is the error, the sixth the result.
@@ -85,7 +85,7 @@
     }
 
     /// How many whole answers come, of so many, until the router ends the connection.
-    pub fn takes_all(&mut self, most: u32) -> usize {
+    pub fn count_answers(&mut self, most: u32) -> usize {
         let mut bytes = Vec::new();
         let mut piece = [0; 16 * 1024];
         let (mut whole, mut scan, mut scanned) = (0, codec::MessageScanner::default(), 0);
@@ -119,7 +119,7 @@
     }
 
     /// The number of the next answer and what it holds: a result, or the word of an error.
-    pub fn hears(&mut self) -> (u32, Result<String, String>) {
+    pub fn receive(&mut self) -> (u32, Result<String, String>) {
         let stream = &mut self.0;
         assert_eq!(decode::read_array_len(stream).unwrap(), 4);
         assert_eq!(decode::read_int::<u32, _>(stream).unwrap(), 1);
@@ -161,7 +161,7 @@
 }
 
 /// The next answer, which must be to this message: whether it is a result.
-pub fn hear(stream: &mut impl Read, number: u32) -> io::Result<bool> {
+pub fn receive_answer(stream: &mut impl Read, number: u32) -> io::Result<bool> {
     let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
     let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     loop {
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -10,7 +10,7 @@
 use woadhook_gossip::{Action, EngineCondition, EventKind, Gossip, GossipConfig};
 use woadhook_router::agreement::Agreement;
 
-use crate::net::{Network, Weather};
+use crate::net::{Network, NetworkConditions};
 
 /// A common start, some time in 2026.
 pub const START: Moment = Moment::from_micros(1_780_000_000_000_000);
@@ -21,7 +21,7 @@
 }
 
 /// The pace of the operator file's defaults.
-pub fn usual_pace() -> GossipConfig {
+pub fn default_gossip_config() -> GossipConfig {
     GossipConfig {
         period: secs(0.2),
         max_sends_per_s: 40.0,
@@ -34,7 +34,7 @@
 }
 
 /// The same of what voters agree on.
-pub fn usual_accord() -> woadhook_accord::AccordConfig {
+pub fn default_accord_config() -> woadhook_accord::AccordConfig {
     woadhook_accord::AccordConfig {
         heartbeat_period: secs(0.2),
         lease: secs(8.0),
@@ -44,37 +44,38 @@
 }
 
 /// Keys from small numbers.
-pub fn secret(number: u64) -> SecretKey {
+pub fn secret_key(number: u64) -> SecretKey {
     let mut bytes = [7; 32];
     bytes[..8].copy_from_slice(&number.to_be_bytes());
     SecretKey::from_bytes(&bytes)
 }
 
 /// The operator of the stand-in clusters.
-pub fn operator() -> SecretKey {
-    secret(u64::MAX)
+pub fn operator_key() -> SecretKey {
+    secret_key(u64::MAX)
 }
 
-pub fn tag() -> ClusterId {
+pub fn cluster_id() -> ClusterId {
     ClusterId::from_name("stand-ins")
 }
 
-pub fn ring() -> TrustStore {
-    TrustStore::new(tag(), vec![operator().public()])
+pub fn trust_store() -> TrustStore {
+    TrustStore::new(cluster_id(), vec![operator_key().public()])
 }
 
 pub fn identity(number: u64, name: &str, now: Moment) -> Identity {
-    let secret = secret(number);
-    let pass = Pass::issue(&operator(), name, secret.public(), tag(), START, START + YEAR).unwrap();
-    Identity::new(secret, pass, &ring(), now).unwrap()
+    let secret = secret_key(number);
+    let pass =
+        Pass::issue(&operator_key(), name, secret.public(), cluster_id(), START, START + YEAR).unwrap();
+    Identity::new(secret, pass, &trust_store(), now).unwrap()
 }
 
 /// That the operator revokes a stand-in's key.
 pub fn revocation(number: u64) -> Revocation {
-    Revocation::issue(&operator(), &secret(number).public(), tag(), START + YEAR)
+    Revocation::issue(&operator_key(), &secret_key(number).public(), cluster_id(), START + YEAR)
 }
 
-pub fn address(number: usize) -> SocketAddr {
+pub fn node_address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7946))
 }
 
@@ -85,7 +86,7 @@
     /// By how much its clock is ahead (or behind, if the mark is set).
     pub clock: (Span, bool),
     /// What it last heard of engines, by engine and type.
-    pub hearsay: BTreeMap<(String, Option<String>), f64>,
+    pub peer_reports: BTreeMap<(String, Option<String>), f64>,
 }
 
 impl Node {
@@ -101,26 +102,26 @@
 
 /// Something that an instance's core said.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ClusterEvent {
     pub at: Moment,
     pub node: usize,
-    pub what: EventKind,
+    pub kind: EventKind,
     pub member: Option<String>,
     pub engine: Option<String>,
-    pub seen: Option<EngineCondition>,
+    pub condition: Option<EngineCondition>,
 }
 
 pub struct Cluster {
     pub now: Moment,
     pub net: Network,
     pub nodes: Vec<Node>,
-    pub told: Vec<Told>,
+    pub events: Vec<ClusterEvent>,
     /// Hearsay that no one took yet: instance, engine, type and doubt.
-    pub heard: VecDeque<(usize, String, Option<String>, f64)>,
-    pub pace: GossipConfig,
+    pub pending_reports: VecDeque<(usize, String, Option<String>, f64)>,
+    pub config: GossipConfig,
     seed: u64,
     /// Orders and notices that instances heard: at which, the epoch; and from whom, what.
-    pub orders: Vec<(usize, u64)>,
+    pub voter_sets: Vec<(usize, u64)>,
     pub notices: Vec<(usize, MemberId, Vec<u8>)>,
     /// What a few of them agree on and all follow, once there is an order.
     pub agreements: BTreeMap<usize, Agreement>,
@@ -131,7 +132,7 @@
 
 impl Cluster {
     /// `count` instances that know the first three as seeds, and nothing else.
-    pub fn new(seed: u64, count: usize, weather: Weather, pace: GossipConfig) -> Self {
+    pub fn new(seed: u64, count: usize, weather: NetworkConditions, pace: GossipConfig) -> Self {
         let net = Network::new(seed, weather);
         let (nodes, told, heard, places) = (Vec::new(), Vec::new(), VecDeque::new(), HashMap::new());
         let (due, dues) = (BTreeSet::new(), Vec::new());
@@ -140,12 +141,12 @@
             now: START + secs(60.0),
             net,
             nodes,
-            told,
-            heard,
-            pace,
+            events: told,
+            pending_reports: heard,
+            config: pace,
             seed,
             agreements,
-            orders,
+            voter_sets: orders,
             notices,
             due,
             dues,
@@ -160,12 +161,12 @@
     /// One more instance, with the key of its number.
     pub fn add(&mut self, number: usize) -> usize {
         let node = self.nodes.len();
-        let at = address(number);
+        let at = node_address(number);
         self.nodes.push(Node {
             core: None,
             address: at,
             clock: (Span::ZERO, false),
-            hearsay: BTreeMap::new(),
+            peer_reports: BTreeMap::new(),
         });
         self.dues.push(None);
         self.places.insert(at, node);
@@ -177,9 +178,9 @@
     pub fn start(&mut self, node: usize) {
         let own = identity(node as u64, &format!("n{node}"), self.now);
         let now = self.nodes[node].now(self.now);
-        let seeds = (0..3).map(address).collect();
+        let seeds = (0..3).map(node_address).collect();
         let seed = self.seed.wrapping_mul(0x9e37_79b9).wrapping_add(node as u64);
-        let core = Gossip::new(now, seed, own, ring(), self.nodes[node].address, seeds, self.pace);
+        let core = Gossip::new(now, seed, own, trust_store(), self.nodes[node].address, seeds, self.config);
         self.nodes[node].core = Some(core);
         self.settle(node);
     }
@@ -191,7 +192,7 @@
     }
 
     /// Makes all know all, as after a long calm time.
-    pub fn acquaint(&mut self) {
+    pub fn introduce_all(&mut self) {
         let cards: Vec<_> =
             self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.own_record())).collect();
         for node in 0..self.nodes.len() {
@@ -207,7 +208,7 @@
     }
 
     /// Does something at an instance, and carries out what comes of it.
-    pub fn at<T>(&mut self, node: usize, act: impl FnOnce(Moment, &mut Gossip) -> T) -> T {
+    pub fn with_core<T>(&mut self, node: usize, act: impl FnOnce(Moment, &mut Gossip) -> T) -> T {
         let now = self.nodes[node].now(self.now);
         let done = act(now, self.nodes[node].core.as_mut().expect("an instance that runs"));
         self.settle(node);
@@ -215,7 +216,7 @@
     }
 
     /// The operator orders that some vote, and tells one instance; all hold agreements from now on.
-    pub fn order(&mut self, epoch: u64, voters: &[usize], accord: woadhook_accord::AccordConfig) {
+    pub fn issue_voter_set(&mut self, epoch: u64, voters: &[usize], accord: woadhook_accord::AccordConfig) {
         for node in 0..self.nodes.len() {
             let (now, own) = (self.nodes[node].now(self.now), self.core(node).id());
             let seed = self.seed ^ node as u64;
@@ -223,13 +224,13 @@
                 .entry(node)
                 .or_insert_with(|| Agreement::start(now, seed, node as u8, own, accord));
         }
-        let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret(*voter as u64).public()).collect();
-        let order = VoterSet::issue(&operator(), tag(), epoch, &keys).expect("an order");
-        self.at(0, |_, core| core.accept_voter_set(order));
+        let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret_key(*voter as u64).public()).collect();
+        let order = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("an order");
+        self.with_core(0, |_, core| core.accept_voter_set(order));
     }
 
     /// How many instances act on what is agreed now.
-    pub fn acting(&self) -> usize {
+    pub fn acting_count(&self) -> usize {
         let acts = |(node, agreement): &(&usize, &Agreement)| {
             agreement.in_force(self.nodes[**node].now(self.now)).is_some()
         };
@@ -237,11 +238,11 @@
     }
 
     /// The same engines at all instances.
-    pub fn list(&mut self, engines: &[&str]) {
+    pub fn set_engines(&mut self, engines: &[&str]) {
         let list: Vec<_> = engines.iter().map(|name| ((*name).to_owned(), Moment::default())).collect();
         for node in 0..self.nodes.len() {
             if self.nodes[node].core.is_some() {
-                self.at(node, |_, core| core.set_engines(&list));
+                self.with_core(node, |_, core| core.set_engines(&list));
             }
         }
     }
@@ -253,8 +254,8 @@
     }
 
     /// The doubt that an instance last heard of an engine.
-    pub fn doubt(&self, node: usize, engine: &str) -> f64 {
-        self.nodes[node].hearsay.get(&(engine.to_owned(), None)).copied().unwrap_or(0.0)
+    pub fn suspicion(&self, node: usize, engine: &str) -> f64 {
+        self.nodes[node].peer_reports.get(&(engine.to_owned(), None)).copied().unwrap_or(0.0)
     }
 
     /// Instances that run.
@@ -263,28 +264,28 @@
     }
 
     /// Whether all that run know just each other.
-    pub fn agree(&self) -> bool {
+    pub fn views_agree(&self) -> bool {
         let count = self.running().count();
         let view = self.running().next().map(|(_, core)| core.view_digest());
         self.running().all(|(_, core)| core.live_members() == count && Some(core.view_digest()) == view)
     }
 
     /// When the next thing happens.
-    pub fn due(&self) -> Option<Moment> {
-        self.due.first().map(|(at, _)| *at).into_iter().chain(self.net.due()).min()
+    pub fn next_step_at(&self) -> Option<Moment> {
+        self.due.first().map(|(at, _)| *at).into_iter().chain(self.net.next_arrival()).min()
     }
 
     /// Lets one thing happen, by `until` at the latest; whether anything did.
     pub fn step(&mut self, until: Moment) -> bool {
-        let Some(at) = self.due().filter(|at| *at <= until) else {
+        let Some(at) = self.next_step_at().filter(|at| *at <= until) else {
             self.now = self.now.max(until);
             return false;
         };
         self.now = self.now.max(at);
-        if let Some((from, to, bytes)) = self.net.arrived(self.now) {
+        if let Some((from, to, bytes)) = self.net.take_arrived(self.now) {
             let Some(&node) = self.places.get(&to) else { return true };
             if self.nodes[node].core.is_some() {
-                self.at(node, |now, core| core.receive(now, from, &bytes));
+                self.with_core(node, |now, core| core.receive(now, from, &bytes));
             }
         } else if let Some((_, node)) = self.due.first().copied() {
             self.settle(node);
@@ -292,20 +293,20 @@
         true
     }
 
-    pub fn pass(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until) {}
     }
 
     /// Lets time pass until something holds; how long that took, or nothing where it did not within `most`.
-    pub fn until(&mut self, most: Span, mut holds: impl FnMut(&Self) -> bool) -> Option<Span> {
+    pub fn run_until(&mut self, most: Span, mut holds: impl FnMut(&Self) -> bool) -> Option<Span> {
         let start = self.now;
-        let step = self.pace.period.mul_f64(0.25);
+        let step = self.config.period.mul_f64(0.25);
         while self.now.since(start) <= most {
             if holds(self) {
                 return Some(self.now.since(start));
             }
-            self.pass(step);
+            self.run_for(step);
         }
         None
     }
@@ -321,11 +322,11 @@
             match to_do {
                 Action::Send { to, bytes } => self.net.send(true_now, from, to, bytes),
                 Action::PeerReport { engine, reservation_type: of, suspicion: doubt } => {
-                    self.heard.push_back((node, engine.clone(), of.clone(), doubt));
-                    self.nodes[node].hearsay.insert((engine, of), doubt);
+                    self.pending_reports.push_back((node, engine.clone(), of.clone(), doubt));
+                    self.nodes[node].peer_reports.insert((engine, of), doubt);
                 }
                 Action::VoterSet { epoch, voters } => {
-                    self.orders.push((node, epoch));
+                    self.voter_sets.push((node, epoch));
                     if let Some(agreement) = self.agreements.get_mut(&node) {
                         agreement.apply_voter_set(now, epoch, &voters);
                     }
@@ -342,7 +343,7 @@
                     }
                 }
                 Action::Event { kind, member, engine, condition } => {
-                    self.told.push(Told { at: true_now, node, what: kind, member, engine, seen: condition });
+                    self.events.push(ClusterEvent { at: true_now, node, kind, member, engine, condition });
                 }
             }
         }
--- a/crates/standins/src/bulletin.rs
+++ b/crates/standins/src/discovery.rs
@@ -6,17 +6,17 @@
 
 use serde_json::{Value, json};
 
-use crate::engines::{Call, Says, Standin, says};
+use crate::engines::{Call, Response, StandinServer, response};
 
 /// The events of a bulletin, which tests add to.
 #[derive(Clone, Default)]
-pub struct Events(Arc<(Mutex<Vec<Value>>, Condvar)>);
+pub struct DiscoveryEvents(Arc<(Mutex<Vec<Value>>, Condvar)>);
 
-impl Events {
+impl DiscoveryEvents {
     /// A bulletin that tells them.
-    pub fn serve(&self) -> Standin {
+    pub fn serve(&self) -> StandinServer {
         let events = self.clone();
-        Standin::start(move |call| events.answer(call))
+        StandinServer::start(move |call| events.answer(call))
     }
 
     pub fn add(&self, number: u64, members: Vec<Value>) {
@@ -32,28 +32,29 @@
     }
 
     /// All after a number, at once.
-    pub fn answer_at_once(&self, call: &Call) -> Says {
+    pub fn answer_at_once(&self, call: &Call) -> Response {
         if !is_for_discovery(call) {
-            return says(404, &[], "");
+            return response(404, &[], "");
         }
-        Self::later(&self.0.0.lock().unwrap(), asked(call, "after"))
+        Self::later(&self.0.0.lock().unwrap(), query_param(call, "after"))
     }
 
     /// All after a number; waits for the first of them as long as the call says.
-    pub fn answer(&self, call: &Call) -> Says {
+    pub fn answer(&self, call: &Call) -> Response {
         if !is_for_discovery(call) {
-            return says(404, &[], "");
+            return response(404, &[], "");
         }
-        let (after, patience) = (asked(call, "after"), Duration::from_millis(asked(call, "patience")));
+        let (after, patience) =
+            (query_param(call, "after"), Duration::from_millis(query_param(call, "patience")));
         let none = |events: &mut Vec<Value>| events.iter().all(|event| event["no"].as_u64() <= Some(after));
         let events = self.0.1.wait_timeout_while(self.0.0.lock().unwrap(), patience, none).unwrap().0;
         Self::later(&events, after)
     }
 
-    fn later(events: &[Value], after: u64) -> Says {
+    fn later(events: &[Value], after: u64) -> Response {
         let later = events.iter().filter(|event| event["no"].as_u64() > Some(after));
         let last = events.iter().filter_map(|event| event["no"].as_u64()).max();
-        says(200, &[], &json!({"no": last, "items": later.collect::<Vec<_>>()}).to_string())
+        response(200, &[], &json!({"no": last, "items": later.collect::<Vec<_>>()}).to_string())
     }
 }
 
@@ -63,13 +64,13 @@
 }
 
 /// A number that a call asks with.
-pub fn asked(call: &Call, name: &str) -> u64 {
+pub fn query_param(call: &Call, name: &str) -> u64 {
     let asked = call.line.split_once(&format!("{name}=")).map(|(_, rest)| rest.split(['&', ' ']).next());
     let number = asked.flatten().and_then(|number| number.parse().ok());
     number.unwrap_or_else(|| panic!("no {name} in a call to discovery: {call:?}"))
 }
 
-pub fn member(id: &str, at: SocketAddr, phase: &str) -> Value {
+pub fn roster_member(id: &str, at: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": at.to_string(), "locality": "a", "flavor": "k", "cell": 0, "phase": phase,
         "size": 1, "up_since_ms": 0})
 }
--- a/crates/standins/src/engines.rs
+++ b/crates/standins/src/engines.rs
@@ -10,7 +10,7 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-use crate::LONG;
+use crate::TEST_TIMEOUT;
 
 /// Bytes that end a line of a head.
 const LINE_END: usize = 2;
@@ -33,54 +33,56 @@
     }
 }
 
-pub enum Says {
-    Answer(u16, Vec<String>, Vec<u8>),
+pub enum Response {
+    Full(u16, Vec<String>, Vec<u8>),
     /// Answers and closes the connection, without a word on it.
-    Last(u16, Vec<String>, Vec<u8>),
+    FullThenClose(u16, Vec<String>, Vec<u8>),
     /// An answer that comes in pieces of so many bytes, with such gaps, head and all.
-    Slow(u16, Vec<String>, Vec<u8>, usize, Duration),
+    InPieces(u16, Vec<String>, Vec<u8>, usize, Duration),
     /// Says so once the time has passed; calls on other connections don't wait for it.
-    Late(Duration, Box<Says>),
+    Delayed(Duration, Box<Response>),
     /// Such bytes and no more, with which the connection ends.
-    Raw(&'static str),
+    RawThenClose(&'static str),
     /// Such bytes, behind which the connection stays open.
-    Noise(String),
-    Cut,
-    Nothing,
+    RawKeepOpen(String),
+    CloseConnection,
+    NoResponse,
     /// Its process ends: first its port is closed, then every connection.
-    Dies,
+    EndProcess,
     /// Takes no new connection from now on, as one that drains, and says so over this one; all that are up go on.
-    ClosesPort(Box<Says>),
+    ClosePort(Box<Response>),
 }
 
-pub fn says(status: u16, fields: &[&str], body: &str) -> Says {
-    Says::Answer(status, fields.iter().map(|field| field.to_string()).collect(), body.into())
+pub fn response(status: u16, fields: &[&str], body: &str) -> Response {
+    Response::Full(status, fields.iter().map(|field| field.to_string()).collect(), body.into())
 }
 
 /// Serves a result of such pages to every query.
-pub fn pages(call: &Call, pages: &[&str]) -> Says {
+pub fn result_page(call: &Call, pages: &[&str]) -> Response {
     let page =
         call.line.split(' ').nth(1).and_then(|path| path.rsplit('/').next()?.parse().ok()).unwrap_or(0);
     if call.line.starts_with("DELETE") {
-        return says(204, &[], "");
+        return response(204, &[], "");
     }
-    says(200, &[&format!("X-Batches: {}", pages.len()), &format!("X-Batch: {page}")], pages[page])
+    response(200, &[&format!("X-Batches: {}", pages.len()), &format!("X-Batch: {page}")], pages[page])
 }
 
 /// A server over HTTP that answers as it is told and passes on each call.
-pub struct Standin {
+pub struct StandinServer {
     pub address: SocketAddr,
     calls: Receiver<Call>,
     open: Arc<Open>,
 }
 
-impl Standin {
-    pub fn start(answer: impl FnMut(&Call) -> Says + Send + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), answer)
+impl StandinServer {
+    pub fn start(answer: impl FnMut(&Call) -> Response + Send + 'static) -> Self {
+        Self::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), answer)
     }
 
     /// One that takes in connections at such a listener.
-    pub fn on(listener: TcpListener, answer: impl FnMut(&Call) -> Says + Send + 'static) -> Self {
+    pub fn on_listener(
+        listener: TcpListener, answer: impl FnMut(&Call) -> Response + Send + 'static,
+    ) -> Self {
         let address = listener.local_addr().unwrap();
         let (answer, (passed, calls)) = (Arc::new(Mutex::new(answer)), mpsc::channel());
         let open = Arc::new(Open { listener, streams: Mutex::default() });
@@ -96,8 +98,8 @@
                         let _ = passed.send(call.clone());
                         let says = answer.lock().unwrap()(&call);
                         let says = match says {
-                            Says::Dies => return open.close(),
-                            Says::ClosesPort(then) => {
+                            Response::EndProcess => return open.close(),
+                            Response::ClosePort(then) => {
                                 open.refuse();
                                 *then
                             }
@@ -116,23 +118,23 @@
     }
 
     /// Takes no new connection from now on, as one that drains; all that are up go on.
-    pub fn refuses(&self) {
+    pub fn refuse_connections(&self) {
         self.open.refuse();
     }
 
     /// Its process ends: first its port is closed, then every connection.
-    pub fn dies(&self) {
+    pub fn end_process(&self) {
         self.open.close();
     }
 
     /// The next call whose first line starts so; what comes before it is passed over.
-    pub fn awaits(&self, start: &str) -> Call {
-        self.until(start).pop().expect("until such a call")
+    pub fn wait_for_call(&self, start: &str) -> Call {
+        self.calls_until(start).pop().expect("until such a call")
     }
 
     /// All calls up to the first that starts so.
-    pub fn until(&self, start: &str) -> Vec<Call> {
-        let (mut calls, end) = (Vec::new(), Instant::now() + LONG);
+    pub fn calls_until(&self, start: &str) -> Vec<Call> {
+        let (mut calls, end) = (Vec::new(), Instant::now() + TEST_TIMEOUT);
         while calls.last().is_none_or(|call: &Call| !call.line.starts_with(start)) {
             let left = end.saturating_duration_since(Instant::now());
             calls.push(self.calls.recv_timeout(left).unwrap_or_else(|_| panic!("no call {start}")));
@@ -141,7 +143,7 @@
     }
 
     /// The calls so far that start so.
-    pub fn had(&self, start: &str) -> Vec<Call> {
+    pub fn received_calls(&self, start: &str) -> Vec<Call> {
         self.calls.try_iter().filter(|call| call.line.starts_with(start)).collect()
     }
 }
@@ -170,14 +172,14 @@
 
 /// An address at which connections don't come up until it is opened, as where nothing is heard of a machine. One that was
 /// asked for before comes up with the system's next try, a second after its first.
-pub struct Gate {
+pub struct BlockedListener {
     listener: TcpListener,
     pub address: SocketAddr,
     fillers: Vec<TcpStream>,
 }
 
-impl Gate {
-    pub fn shut() -> Self {
+impl BlockedListener {
+    pub fn bind() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -189,10 +191,10 @@
         Self { listener, address, fillers }
     }
 
-    pub fn open(self, answer: impl FnMut(&Call) -> Says + Send + 'static) -> Standin {
+    pub fn unblock(self, answer: impl FnMut(&Call) -> Response + Send + 'static) -> StandinServer {
         SockRef::from(&self.listener).listen(128).unwrap();
         drop(self.fillers);
-        Standin::on(self.listener, answer)
+        StandinServer::on_listener(self.listener, answer)
     }
 }
 
@@ -215,15 +217,15 @@
 }
 
 /// Whether the connection goes on.
-fn reply(stream: &mut TcpStream, says: Says) -> bool {
-    if let Says::Late(after, then) = says {
+fn reply(stream: &mut TcpStream, says: Response) -> bool {
+    if let Response::Delayed(after, then) = says {
         thread::sleep(after);
         return reply(stream, *then);
     }
     let (status, fields, body, goes_on) = match says {
-        Says::Answer(status, fields, body) => (status, fields, body, true),
-        Says::Last(status, fields, body) => (status, fields, body, false),
-        Says::Slow(status, fields, body, piece, gap) => {
+        Response::Full(status, fields, body) => (status, fields, body, true),
+        Response::FullThenClose(status, fields, body) => (status, fields, body, false),
+        Response::InPieces(status, fields, body, piece, gap) => {
             for part in framed(status, &fields, &body).chunks(piece.max(1)) {
                 if stream.write_all(part).is_err() {
                     return false;
@@ -232,14 +234,14 @@
             }
             return true;
         }
-        Says::Raw(words) => {
+        Response::RawThenClose(words) => {
             let _ = stream.write_all(words.as_bytes());
             return false;
         }
-        Says::Noise(words) => return stream.write_all(words.as_bytes()).is_ok(),
-        Says::Cut | Says::Dies => return false,
-        Says::Nothing => return true,
-        Says::Late(..) | Says::ClosesPort(..) => unreachable!("said above"),
+        Response::RawKeepOpen(words) => return stream.write_all(words.as_bytes()).is_ok(),
+        Response::CloseConnection | Response::EndProcess => return false,
+        Response::NoResponse => return true,
+        Response::Delayed(..) | Response::ClosePort(..) => unreachable!("said above"),
     };
     stream.write_all(&framed(status, &fields, &body)).is_ok() && goes_on
 }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::relays::{Side, Way};
+use crate::relays::{EndpointSet, Way};
 
 /// What happens to the fleet; routers and engines by number.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,16 +22,16 @@
     /// An engine answers every call with an error from now on.
     Bad(usize),
     /// What goes between such sides goes so, each way as it is told, for so many milliseconds; then all goes as before.
-    Lay(Vec<(Side, Side, Way)>, u64),
+    Lay(Vec<(EndpointSet, EndpointSet, Way)>, u64),
     /// Connections that are up from one side to another are reset.
-    Reset(Side, Side),
+    Reset(EndpointSet, EndpointSet),
     /// Routers stand still for so many milliseconds, all of them together.
     Halt(Vec<usize>, u64),
 }
 
 impl Fault {
     /// Nothing goes between two sides, either way.
-    pub fn cut(one: &Side, other: &Side, millis: u64) -> Self {
+    pub fn cut(one: &EndpointSet, other: &EndpointSet, millis: u64) -> Self {
         let there = (one.clone(), other.clone(), Way::CUT);
         Fault::Lay(vec![there, (other.clone(), one.clone(), Way::CUT)], millis)
     }
@@ -72,12 +72,15 @@
     /// So many faults of the ways between zones, in an order from the seed: cuts both ways and one way, a slow and unsteady
     /// way, resets under requests, beside a kill, a pause, or a bulletin that moves. A cut is shorter than `longest`
     /// milliseconds.
-    pub fn draw_ways(seed: u64, count: usize, zones: &[String], routers: usize, longest: u64) -> Self {
+    pub fn draw_network_faults(
+        seed: u64, count: usize, zones: &[String], routers: usize, longest: u64,
+    ) -> Self {
         let mut chance = Pcg32::seed_from_u64(seed);
         let faults = (0..count).map(|_| {
             let first = chance.random_range(0..zones.len());
             let other = (first + chance.random_range(1..zones.len().max(2))) % zones.len();
-            let (one, other) = (Side::Zone(zones[first].clone()), Side::Zone(zones[other].clone()));
+            let (one, other) =
+                (EndpointSet::Zone(zones[first].clone()), EndpointSet::Zone(zones[other].clone()));
             let router = chance.random_range(0..routers);
             let span = chance.random_range(longest / 4..longest);
             let unsteady = Way { delay: (1, 60), loss: 0.3, twice: 0.2, ..Way::default() };
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -22,16 +22,16 @@
 
 use self::judge::Seen;
 pub use self::judge::Tally;
-pub use self::overlap::Played;
+pub use self::overlap::PlanOutcome;
 use self::parties::{Caller, Feed, Place, feed, line};
 use self::talk::{order, talking};
-use crate::LONG;
-use crate::bulletin::Events;
+use crate::TEST_TIMEOUT;
+use crate::discovery::DiscoveryEvents;
 use crate::faults::{Fault, Schedule};
 use crate::preload::Preload;
-use crate::processes::Process;
+use crate::processes::RouterProcess;
 use crate::relays::Relays;
-use crate::routers::told;
+use crate::routers::router_config;
 use crate::troubles::{DiscoveryMode, EngineMode};
 
 /// The work that each job is told to be, in milliseconds of one thread.
@@ -47,12 +47,12 @@
 const CALLERS: usize = 3;
 
 /// What the settings of such a fleet promise, in milliseconds.
-pub const GRACE: u64 = 4_000;
-pub const FALL: u64 = 2_000;
+pub const DRAIN_GRACE_MS: u64 = 4_000;
+pub const FALL_MS: u64 = 2_000;
 /// How long a key rests behind a load that may still run.
 const TURN_GAP: u64 = 300;
 /// How long a voter's word counts.
-pub const LEASE: u64 = 3_000;
+pub const LEASE_MS: u64 = 3_000;
 const FACTOR: f64 = 2.0;
 const START_CAPACITY: f64 = 0.3;
 const COLD: Duration = Duration::from_secs(60);
@@ -67,28 +67,37 @@
     /// Each zone with its region.
     pub zones: Vec<(String, String)>,
     /// Whether the routers talk with one another.
-    pub talk: bool,
+    pub gossip: bool,
     /// How many of them vote on what all follow: the first ones.
     pub voters: usize,
     /// Whether loads keep their order: those of one router have one key.
     pub ordered: bool,
     /// Whether system calls of the routers can be made to fail, and their wall clocks to step, where the machine has a compiler.
-    pub failing_calls: bool,
+    pub failing_system_calls: bool,
     pub seed: u64,
 }
 
 impl Layout {
     /// One zone, no talk.
-    pub fn plain(routers: usize, engines: usize) -> Self {
+    pub fn single_zone(routers: usize, engines: usize) -> Self {
         let zones = vec![("a".into(), "r".into())];
         let (talk, voters, ordered, failing_calls, seed) = (false, 0, false, false, 0);
-        Self { routers, engines, zones, talk, voters, ordered, failing_calls, seed }
+        Self {
+            routers,
+            engines,
+            zones,
+            gossip: talk,
+            voters,
+            ordered,
+            failing_system_calls: failing_calls,
+            seed,
+        }
     }
 
     /// So many zones, `z0` and on, two to a region, `r0` and on.
-    pub fn zoned(routers: usize, engines: usize, zones: usize, seed: u64) -> Self {
+    pub fn with_zones(routers: usize, engines: usize, zones: usize, seed: u64) -> Self {
         let zones = (0..zones).map(|at| (format!("z{at}"), format!("r{}", at / 2))).collect();
-        Self { zones, talk: true, seed, ..Self::plain(routers, engines) }
+        Self { zones, gossip: true, seed, ..Self::single_zone(routers, engines) }
     }
 
     pub fn zone_names(&self) -> Vec<String> {
@@ -103,7 +112,7 @@
 pub struct Fleet {
     layout: Layout,
     pub relays: Relays,
-    routers: Vec<Mutex<Process>>,
+    routers: Vec<Mutex<RouterProcess>>,
     engines: Mutex<Vec<Place>>,
     /// Of the last event of discovery.
     number: Mutex<u64>,
@@ -124,7 +133,7 @@
         let (seen, relays): (Arc<Mutex<Seen>>, Relays) = (Arc::default(), Relays::new(layout.seed));
         let place = |name: &str, number| {
             let (zone, region) = layout.zone(number);
-            relays.place(name, zone, region);
+            relays.add_party(name, zone, region);
         };
         for router in 0..layout.routers {
             ["n", "b", "c"].iter().for_each(|kind| place(&format!("{kind}{router}"), router));
@@ -137,24 +146,26 @@
         }
         let discovery = Arc::new(Mutex::new(DiscoveryMode::Well));
         let mut preloads = BTreeMap::new();
-        let talk = if layout.talk { talking(&layout, folder, &relays) } else { Vec::new() };
+        let talk = if layout.gossip { talking(&layout, folder, &relays) } else { Vec::new() };
         let (mut feeds, mut routers) = (Vec::new(), Vec::new());
         for router in 0..layout.routers {
             let members: Vec<Value> = (0..layout.engines)
                 .map(|at| line(&layout, &relays, router, at, &engines[at], "SERVING", 0))
                 .collect();
-            let events = Events::default();
+            let events = DiscoveryEvents::default();
             events.add(1, members.clone());
             let feed = feed(events, discovery.clone());
-            let at = relays.passage(&format!("n{router}"), &format!("b{router}"), feed.standin.address);
-            let mut given: Value = serde_json::from_str(&told(&[], at, 512)).expect("a configuration");
+            let at = relays.relay_address(&format!("n{router}"), &format!("b{router}"), feed.standin.address);
+            let mut given: Value =
+                serde_json::from_str(&router_config(&[], at, 512)).expect("a configuration");
             given["known"]["items"][0]["roster"]["members"] = json!(members);
             let settings = &mut given["settings"];
             (settings["replicasOfMe"], settings["myNumber"]) = (json!(layout.routers), json!(router));
             (settings["zone"], settings["zones"]) =
                 (json!(layout.zone(router).0), json!(layout.zone_names()));
             let rules = &mut settings["obligations"];
-            (rules["fallUs"], rules["stopSendingWithinUs"]) = (json!(FALL * 1000), json!(GRACE * 1000));
+            (rules["fallUs"], rules["stopSendingWithinUs"]) =
+                (json!(FALL_MS * 1000), json!(DRAIN_GRACE_MS * 1000));
             (rules["overloadFactor"], rules["startCapacity"]) = (json!(FACTOR), json!(START_CAPACITY));
             (rules["coldUs"], given["limits"]["memory_mb"]) = (json!(COLD.as_micros() as u64), json!(32));
             if layout.ordered {
@@ -163,28 +174,29 @@
             }
             let arguments = talk.get(router).cloned().unwrap_or_default();
             let (name, told) = (format!("n{router}"), given.to_string());
-            let preload = layout.failing_calls.then(|| Preload::build(folder, &name));
+            let preload = layout.failing_system_calls.then(|| Preload::build(folder, &name));
             routers.push(match preload {
                 Some(Ok(preload)) => {
-                    let process = Process::soaked(Some(&preload), program, folder, &name, &told);
+                    let process =
+                        RouterProcess::start_with_log_pipe(Some(&preload), program, folder, &name, &told);
                     preloads.insert(router, preload);
                     process
                 }
                 Some(Err(missing)) => {
                     eprintln!("{missing}; these troubles are left out");
-                    Process::soaked(None, program, folder, &name, &told)
+                    RouterProcess::start_with_log_pipe(None, program, folder, &name, &told)
                 }
-                None => Process::with(program, &arguments, folder, &name, &told),
+                None => RouterProcess::start_with_arguments(program, &arguments, folder, &name, &told),
             });
             feeds.push(feed);
         }
-        routers.iter().for_each(Process::ready);
+        routers.iter().for_each(RouterProcess::wait_until_ready);
         let over: Arc<AtomicBool> = Arc::default();
         let callers = (0..routers.len() * CALLERS).map(|number| {
             let (router, seen, over) = (number % routers.len(), seen.clone(), over.clone());
             let pause = BETWEEN * routers.len().div_ceil(USUAL) as u32;
             let (from, to) = (format!("c{router}"), format!("n{router}"));
-            let at = relays.passage(&from, &to, routers[router].address);
+            let at = relays.relay_address(&from, &to, routers[router].address);
             let caller = Caller { router, number, at, pause };
             thread::spawn(move || parties::call(caller, &seen, &over))
         });
@@ -206,19 +218,19 @@
     }
 
     /// Lets a schedule happen, one fault after another.
-    pub fn suffer(&self, schedule: &Schedule) {
+    pub fn run_schedule(&self, schedule: &Schedule) {
         for (fault, pause) in &schedule.faults {
             match fault {
-                Fault::Kill(routers) => self.kill(routers),
+                Fault::Kill(routers) => self.kill_and_restart(routers),
                 Fault::Roll(routers) => routers.iter().for_each(|router| self.roll(*router)),
                 Fault::Pause(router, millis) => self.halt(&[*router], *millis),
                 Fault::Move => self.relocate(),
-                Fault::Replace(engines) => self.replace(engines),
+                Fault::Replace(engines) => self.replace_engines(engines),
                 Fault::Bad(engine) => {
                     *self.engines.lock().unwrap()[*engine].mode.lock().unwrap() = EngineMode::Fails;
                 }
                 Fault::Lay(ways, millis) => {
-                    self.relays.lay(ways.iter().cloned());
+                    self.relays.set_ways(ways.iter().cloned());
                     thread::sleep(Duration::from_millis(*millis));
                     self.relays.heal();
                 }
@@ -238,29 +250,29 @@
     }
 
     /// Routers killed all at once, and started again.
-    pub fn kill(&self, routers: &[usize]) {
-        routers.iter().for_each(|router| self.down(*router));
-        routers.iter().for_each(|router| self.again(*router));
-        routers.iter().for_each(|router| self.routers[*router].lock().unwrap().ready());
+    pub fn kill_and_restart(&self, routers: &[usize]) {
+        routers.iter().for_each(|router| self.kill_router(*router));
+        routers.iter().for_each(|router| self.start_router(*router));
+        routers.iter().for_each(|router| self.routers[*router].lock().unwrap().wait_until_ready());
     }
 
     fn roll(&self, router: usize) {
         self.seen.lock().unwrap().ended.push((router, Instant::now()));
         let mut process = self.routers[router].lock().unwrap();
         process.signal(Signal::TERM);
-        let status = process.ends();
+        let status = process.wait();
         assert!(status.success(), "{} ended with {status}", process.name);
         drop(process);
-        self.again(router);
-        self.routers[router].lock().unwrap().ready();
+        self.start_router(router);
+        self.routers[router].lock().unwrap().wait_until_ready();
     }
 
     /// Starts a router from nothing, told the bulletin so far.
-    pub fn again(&self, router: usize) {
+    pub fn start_router(&self, router: usize) {
         let known = self.feeds[router].lock().unwrap().events.all();
         let mut process = self.routers[router].lock().unwrap();
-        process.tell(|given| given["known"] = known);
-        process.again();
+        process.change_config(|given| given["known"] = known);
+        process.start_again();
         drop(process);
         self.close_left_feeds(router);
     }
@@ -271,11 +283,11 @@
             let mut old = old.lock().unwrap();
             let new = feed(old.events.clone(), self.discovery.clone());
             let (from, to) = (format!("n{number}"), format!("b{number}"));
-            let at = self.relays.passage(&from, &to, new.standin.address);
+            let at = self.relays.relay_address(&from, &to, new.standin.address);
             let old = std::mem::replace(&mut *old, new);
             let router = router.lock().unwrap();
-            router.tell(|given| given["bulletin"] = json!(at.to_string()));
-            if router.is_hidden() {
+            router.change_config(|given| given["bulletin"] = json!(at.to_string()));
+            if router.is_config_hidden() {
                 self.left_feeds.lock().unwrap().push((number, old));
                 continue;
             }
@@ -301,7 +313,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         for number in first..first + count {
             let (zone, region) = self.layout.zone(number);
-            self.relays.place(&format!("s-{number}"), zone, region);
+            self.relays.add_party(&format!("s-{number}"), zone, region);
             engines.push(parties::place(number, self.seen.clone()));
             self.seen.lock().unwrap().cold.insert(number, Instant::now());
         }
@@ -311,7 +323,7 @@
     }
 
     /// Engines drain and go, and new ones come in their places, cold.
-    pub fn replace(&self, engines: &[usize]) {
+    pub fn replace_engines(&self, engines: &[usize]) {
         self.add_cold(engines.len());
         for phase in ["DRAINING", "DELETED"] {
             self.tell(engines, phase, 0);
@@ -333,13 +345,13 @@
     }
 
     /// The operator orders another epoch, and tells one router.
-    pub fn order(&self, folder: &Path, epoch: u64, router: usize) {
+    pub fn issue_voter_set(&self, folder: &Path, epoch: u64, router: usize) {
         order(folder, epoch, self.layout.voters);
         self.signal(router, Signal::HUP);
     }
 
-    /// Kills a router and leaves it so, until [`again`](Self::again).
-    pub fn down(&self, router: usize) {
+    /// Kills a router and leaves it so, until [`start_router`](Self::start_router).
+    pub fn kill_router(&self, router: usize) {
         let mut process = self.routers[router].lock().unwrap();
         process.kill();
         self.seen.lock().unwrap().killed.push((router, Instant::now()));
@@ -349,8 +361,8 @@
         self.routers[router].lock().unwrap().signal(signal);
     }
 
-    pub fn said(&self, router: usize) -> String {
-        self.routers[router].lock().unwrap().said()
+    pub fn router_log(&self, router: usize) -> String {
+        self.routers[router].lock().unwrap().log_text()
     }
 
     fn address(&self, router: usize) -> SocketAddr {
@@ -362,8 +374,8 @@
     }
 
     /// Lines of a router's log with such an event, as fields.
-    pub fn events(&self, router: usize, event: &str) -> Vec<Value> {
-        let said = self.said(router);
+    pub fn log_events(&self, router: usize, event: &str) -> Vec<Value> {
+        let said = self.router_log(router);
         let lines = said.lines().filter(|line| line.contains(event));
         lines
             .filter_map(|line| serde_json::from_str(line).ok())
@@ -372,16 +384,16 @@
     }
 
     /// Waits until something holds that is to hold in the end.
-    pub fn awaits(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
-        let by = Instant::now() + LONG + LONG;
+    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
+        let by = Instant::now() + TEST_TIMEOUT + TEST_TIMEOUT;
         while !holds(self) {
-            assert!(Instant::now() < by, "{what} does not come\n{}", self.logs().join("\n"));
+            assert!(Instant::now() < by, "{what} does not come\n{}", self.merged_logs().join("\n"));
             thread::sleep(Duration::from_millis(20));
         }
     }
 
     /// All that the routers logged, by time; lines that tell no time keep their place.
-    pub fn logs(&self) -> Vec<String> {
+    pub fn merged_logs(&self) -> Vec<String> {
         let time = |line: &str| {
             let told: Option<Value> = serde_json::from_str(line).ok();
             told.and_then(|told| told["at"].as_str().map(str::to_owned))
@@ -389,7 +401,7 @@
         let mut lines: Vec<(Option<String>, String)> = Vec::new();
         for router in &self.routers {
             let (router, mut last) = (router.lock().unwrap(), None);
-            for line in router.said().lines() {
+            for line in router.log_text().lines() {
                 last = time(line).or(last);
                 lines.push((last.clone(), format!("{} {line}", router.name)));
             }
@@ -399,9 +411,9 @@
     }
 
     /// Lets time pass, until so long after the last notice to drain that its grace is over by as much again.
-    pub fn settle(&self) {
+    pub fn wait_for_drains(&self) {
         let last = self.seen.lock().unwrap().drained.values().max().copied();
-        let until = last.map_or(Instant::now(), |last| last + Duration::from_millis(2 * GRACE));
+        let until = last.map_or(Instant::now(), |last| last + Duration::from_millis(2 * DRAIN_GRACE_MS));
         thread::sleep(until.saturating_duration_since(Instant::now()));
     }
 
@@ -415,15 +427,17 @@
         }
         for router in &self.routers {
             let router = router.lock().unwrap();
-            if !router.lives() {
+            if !router.is_running() {
                 return Err(format!("{} ended by itself", router.name));
             }
-            if let Some(line) = router.said().lines().find(|line| line.contains("\"event\":\"violation\"")) {
+            if let Some(line) =
+                router.log_text().lines().find(|line| line.contains("\"event\":\"violation\""))
+            {
                 return Err(format!("{}: {line}", router.name));
             }
         }
         let mut seen = self.seen.lock().unwrap();
-        seen.ways_cut = self.relays.held_anything_up();
+        seen.ways_cut = self.relays.ever_had_ways();
         judge::all_rules(&seen).map_err(|broken| {
             let told = broken.jobs.iter().flat_map(|id| self.on_job(id));
             let kills = format!("killed behind the order to end: {:?}", seen.killed_behind_their_end);
@@ -436,7 +450,7 @@
     }
 
     fn await_service(&self) -> Result<(), String> {
-        let (from, by) = (Instant::now(), Instant::now() + LONG);
+        let (from, by) = (Instant::now(), Instant::now() + TEST_TIMEOUT);
         let serves = |seen: &Seen, router: usize| {
             seen.answers.iter().any(|a| a.router == router && a.at >= from && matches!(a.got, Ok(true)))
         };
@@ -453,6 +467,6 @@
 
     /// The lines of all logs on a job.
     fn on_job(&self, id: &str) -> Vec<String> {
-        self.routers.iter().flat_map(|router| router.lock().unwrap().on_job(id)).collect()
+        self.routers.iter().flat_map(|router| router.lock().unwrap().log_lines_of_job(id)).collect()
     }
 }
--- a/crates/standins/src/fleet/effects.rs
+++ b/crates/standins/src/fleet/effects.rs
@@ -8,9 +8,9 @@
 
 use super::overlap::Starter;
 use super::{Fleet, parties};
-use crate::LONG;
+use crate::TEST_TIMEOUT;
 use crate::log_reader::Reading;
-use crate::relays::{Side, Way};
+use crate::relays::{EndpointSet, Way};
 use crate::troubles::{BEFORE_RESET, DiscoveryMode, EngineMode, LOADS_BEGIN, Trouble};
 
 /// Tells the requests of clients that misbehave apart.
@@ -30,7 +30,7 @@
                 self.seen.lock().unwrap().stood.push(*router);
                 self.signal(*router, Signal::STOP);
             }
-            Trouble::Kill { router, .. } => self.down(*router),
+            Trouble::Kill { router, .. } => self.kill_router(*router),
             Trouble::Restart { router } => {
                 self.seen.lock().unwrap().ended.push((*router, Instant::now()));
                 self.signal(*router, Signal::TERM);
@@ -39,14 +39,14 @@
             Trouble::Move => self.relocate(),
             Trouble::Discovery { mode, .. } => *self.discovery.lock().unwrap() = *mode,
             Trouble::Engine { engine, mode, .. } => self.set_mode(*engine, *mode),
-            Trouble::Replace { engines } => self.replace(engines),
+            Trouble::Replace { engines } => self.replace_engines(engines),
             Trouble::Calls { router, call, every, error, .. } => {
                 let Some(preload) = self.preloads.get(router) else { return false };
                 preload.fail(*call, *every, *error);
             }
             Trouble::Short { router, most, .. } => {
                 let Some(preload) = self.preloads.get(router) else { return false };
-                preload.shorten(*most);
+                preload.limit_transfers(*most);
             }
             Trouble::Clock { router, step, .. } => {
                 let Some(preload) = self.preloads.get(router) else { return false };
@@ -57,14 +57,14 @@
                     if let Some(preload) = self.preloads.get(router) {
                         preload.step_clock(Duration::from_millis(step.unsigned_abs()), *step < 0);
                     }
-                    self.down(*router);
+                    self.kill_router(*router);
                 }
             }
-            Trouble::Cut { router, engine, .. } => self.relays.lay(cut(*router, *engine)),
+            Trouble::Cut { router, engine, .. } => self.relays.set_ways(cut(*router, *engine)),
             Trouble::Reset { router } => {
                 (0..self.engine_count()).for_each(|engine| {
-                    let engine = Side::party(&format!("s-{engine}"));
-                    self.relays.reset(&Side::party(&format!("n{router}")), &engine);
+                    let engine = EndpointSet::party(&format!("s-{engine}"));
+                    self.relays.reset(&EndpointSet::party(&format!("n{router}")), &engine);
                 });
             }
             Trouble::Rude { router, client, count } => {
@@ -120,9 +120,9 @@
             Trouble::Calls { router, call, .. } => {
                 self.preloads[router].fail(*call, 0, rustix::io::Errno::INTR);
             }
-            Trouble::Short { router, .. } => self.preloads[router].shorten(0),
+            Trouble::Short { router, .. } => self.preloads[router].limit_transfers(0),
             Trouble::Clock { router, .. } => self.preloads[router].step_clock(Duration::ZERO, false),
-            Trouble::Cut { router, engine, .. } => self.relays.lift(cut(*router, *engine)),
+            Trouble::Cut { router, engine, .. } => self.relays.remove_ways(cut(*router, *engine)),
             Trouble::Log { router, .. } => {
                 self.routers[*router].lock().unwrap().read_log(Reading::AtOnce);
             }
@@ -143,8 +143,8 @@
 
     fn show_config(&self, router: usize) {
         let process = self.routers[router].lock().unwrap();
-        process.show_config();
-        if process.lives() {
+        process.restore_config();
+        if process.is_running() {
             process.signal(Signal::HUP);
         }
         drop(process);
@@ -153,10 +153,10 @@
 
     /// Waits for the end of a router that was told to end; others may signal it meanwhile.
     fn await_end(&self, router: usize) {
-        let by = Instant::now() + LONG;
+        let by = Instant::now() + TEST_TIMEOUT;
         loop {
             let mut process = self.routers[router].lock().unwrap();
-            if let Some(status) = process.ended() {
+            if let Some(status) = process.try_wait() {
                 assert!(status.success(), "{} ended with {status}", process.name);
                 return;
             }
@@ -188,17 +188,17 @@
 
     /// The engine takes no new connection; what is up there may be reset.
     fn refuse(&self, engine: usize, resets: bool) {
-        self.relays.refuse(&format!("s-{engine}"));
+        self.relays.refuse_connections(&format!("s-{engine}"));
         if resets {
             thread::sleep(BEFORE_RESET);
-            self.relays.reset(&Side::All, &Side::party(&format!("s-{engine}")));
+            self.relays.reset(&EndpointSet::All, &EndpointSet::party(&format!("s-{engine}")));
         }
     }
 
     /// A drained engine is told gone, and its process ends.
     fn dies(&self, engine: usize) {
         self.tell(&[engine], "DELETED", 0);
-        self.engines.lock().unwrap()[engine].engine.dies();
+        self.engines.lock().unwrap()[engine].engine.end_process();
         self.seen.lock().unwrap().died.insert(engine, Instant::now());
     }
 
@@ -208,7 +208,8 @@
 }
 
 /// Nothing goes between a router and an engine, either way.
-fn cut(router: usize, engine: usize) -> [(Side, Side, Way); 2] {
-    let (one, other) = (Side::party(&format!("n{router}")), Side::party(&format!("s-{engine}")));
+fn cut(router: usize, engine: usize) -> [(EndpointSet, EndpointSet, Way); 2] {
+    let (one, other) =
+        (EndpointSet::party(&format!("n{router}")), EndpointSet::party(&format!("s-{engine}")));
     [(one.clone(), other.clone(), Way::CUT), (other, one, Way::CUT)]
 }
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/judge.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::queries::Queries;
-use super::{ANSWERED, COLD, CORES, COST, FACTOR, FALL, GRACE, START_CAPACITY};
+use super::{ANSWERED, COLD, CORES, COST, DRAIN_GRACE_MS, FACTOR, FALL_MS, START_CAPACITY};
 
 /// A router told to end takes what comes for longer than this.
 const STILL_TAKEN: Duration = Duration::from_millis(200);
@@ -159,7 +159,9 @@
 fn nothing_after_the_grace(seen: &Seen) -> Result<(), Broken> {
     let late = seen.posts.iter().find(|post| {
         let told = seen.drained.get(&post.engine);
-        told.is_some_and(|told| post.at.saturating_duration_since(*told) > Duration::from_millis(GRACE))
+        told.is_some_and(|told| {
+            post.at.saturating_duration_since(*told) > Duration::from_millis(DRAIN_GRACE_MS)
+        })
     });
     late.map_or(Ok(()), |Post { engine, id, .. }| {
         Err(Broken::by(id, format!("job {id} came to engine {engine} after its grace")))
@@ -173,12 +175,13 @@
         let at: Vec<Instant> =
             seen.posts.iter().filter(|post| post.engine == *engine).map(|post| post.at).collect();
         for (place, first) in at.iter().enumerate() {
-            let within =
-                at[place..].iter().take_while(|at| at.duration_since(*first).as_millis() < u128::from(FALL));
+            let within = at[place..]
+                .iter()
+                .take_while(|at| at.duration_since(*first).as_millis() < u128::from(FALL_MS));
             let count = within.count();
             let risen = (first.saturating_duration_since(*start).as_secs_f64() / COLD.as_secs_f64()).min(1.0);
             let able = START_CAPACITY + (1.0 - START_CAPACITY) * risen;
-            let most = FACTOR * able * CORES * FALL as f64 / COST as f64;
+            let most = FACTOR * able * CORES * FALL_MS as f64 / COST as f64;
             if count as f64 > most + most.sqrt() {
                 let words =
                     format!("{count} jobs in a window at cold engine {engine}, {most:.1} are its budget");
--- a/crates/standins/src/fleet/overlap.rs
+++ b/crates/standins/src/fleet/overlap.rs
@@ -14,11 +14,11 @@
 
 /// What came of a plan, as far as the rig goes.
 #[derive(Default)]
-pub struct Played {
+pub struct PlanOutcome {
     /// The kinds of troubles that could not happen.
-    pub left_out: BTreeSet<String>,
+    pub skipped: BTreeSet<String>,
     /// Steps that came late, in words.
-    pub late: Vec<String>,
+    pub late_steps: Vec<String>,
 }
 
 /// Starts routers on the thread that plays the plan: a process ends with the thread that started it.
@@ -41,7 +41,7 @@
 
 impl Fleet {
     /// Plays a plan.
-    pub fn overlap(&self, plan: &Plan) -> Played {
+    pub fn run_plan(&self, plan: &Plan) -> PlanOutcome {
         let (starter, starts) = mpsc::channel();
         let play = Play {
             fleet: self,
@@ -57,7 +57,7 @@
             }
             drop(starter);
             for Start { router, done } in starts {
-                self.again(router);
+                self.start_router(router);
                 let _ = done.send(());
             }
         });
@@ -81,7 +81,7 @@
     claims: Mutex<Claims>,
     /// Troubles by what they set; the last one is in force, and the one before comes back behind it.
     in_force: Mutex<BTreeMap<String, Vec<(usize, Trouble)>>>,
-    played: Mutex<Played>,
+    played: Mutex<PlanOutcome>,
 }
 
 impl Play<'_> {
@@ -143,7 +143,7 @@
     }
 
     fn leave_out(&self, trouble: &Trouble) {
-        self.played.lock().unwrap().left_out.insert(trouble.kind());
+        self.played.lock().unwrap().skipped.insert(trouble.kind());
     }
 
     pub fn note_late(&self, trouble: &Trouble, what: &str, due: Instant) {
@@ -151,7 +151,7 @@
         if late > PUNCTUAL {
             let at = due.saturating_duration_since(self.start);
             let words = format!("{trouble:?} {what} {late:?} late, at {at:?}");
-            self.played.lock().unwrap().late.push(words);
+            self.played.lock().unwrap().late_steps.push(words);
         }
     }
 }
--- a/crates/standins/src/fleet/parties.rs
+++ b/crates/standins/src/fleet/parties.rs
@@ -13,9 +13,9 @@
 use super::judge::{Asked, CALLER_DIGITS, CROSSING, Post, Seen, caller_of, is_load};
 use super::queries::{End, News};
 use super::{ANSWERED, COST, Layout, WAIT};
-use crate::bulletin::{Events, member};
-use crate::clients::{Client, hear};
-use crate::engines::{Call, Says, Standin, pages, says};
+use crate::clients::{Client, receive_answer};
+use crate::discovery::{DiscoveryEvents, roster_member};
+use crate::engines::{Call, Response, StandinServer, response, result_page};
 use crate::relays::Relays;
 use crate::troubles::{DiscoveryMode, EngineMode, RudeClient};
 
@@ -39,7 +39,7 @@
 const TINY: u32 = 15;
 
 pub(super) struct Place {
-    pub engine: Standin,
+    pub engine: StandinServer,
     pub mode: Arc<Mutex<EngineMode>>,
     /// Where each router reaches it.
     pub ways: Mutex<HashMap<usize, SocketAddr>>,
@@ -49,7 +49,7 @@
 pub(super) fn place(number: usize, seen: Arc<Mutex<Seen>>) -> Place {
     let mode = Arc::new(Mutex::new(EngineMode::Well));
     let present = mode.clone();
-    let engine = Standin::start(move |call| {
+    let engine = StandinServer::start(move |call| {
         let mode = *present.lock().unwrap();
         answer(number, call, mode, &mut seen.lock().unwrap())
     });
@@ -57,7 +57,7 @@
 }
 
 /// What such an engine says to a call.
-fn answer(engine: usize, call: &Call, mode: EngineMode, seen: &mut Seen) -> Says {
+fn answer(engine: usize, call: &Call, mode: EngineMode, seen: &mut Seen) -> Response {
     let now = Instant::now();
     let is_post = call.line.starts_with("POST");
     let id =
@@ -67,7 +67,7 @@
         let runs = run(&id, seen.routers);
         seen.queries.start(engine, &id, now, runs);
         if !runs.is_zero() {
-            return says(202, &[], "");
+            return response(202, &[], "");
         }
     }
     let is_delete = call.line.starts_with("DELETE");
@@ -77,22 +77,22 @@
     }
     let news = if is_delete { News::Done } else { seen.queries.ask(engine, &id, now) };
     match mode {
-        EngineMode::Hangs => return Says::Nothing,
-        EngineMode::Cuts => return Says::Cut,
-        EngineMode::Garbles => return Says::Noise("no answer at all\r\n\r\n".to_owned()),
+        EngineMode::Hangs => return Response::NoResponse,
+        EngineMode::Cuts => return Response::CloseConnection,
+        EngineMode::Garbles => return Response::RawKeepOpen("no answer at all\r\n\r\n".to_owned()),
         EngineMode::Well if news == News::Runs => {
-            return Says::Slow(202, vec![], vec![], 16, Duration::from_millis(20));
+            return Response::InPieces(202, vec![], vec![], 16, Duration::from_millis(20));
         }
         EngineMode::Well | EngineMode::Fails => {}
     }
     if is_delete {
-        return if mode == EngineMode::Fails { says(500, &[], "") } else { says(204, &[], "") };
+        return if mode == EngineMode::Fails { response(500, &[], "") } else { response(204, &[], "") };
     }
     seen.queries.end(engine, &id, now, End::Written);
     if mode == EngineMode::Fails || (news == News::Unknown && !is_probe(call)) {
-        says(500, &[], "")
+        response(500, &[], "")
     } else {
-        pages(call, &["a\tb\tc\n"])
+        result_page(call, &["a\tb\tc\n"])
     }
 }
 
@@ -129,38 +129,38 @@
 ) -> Value {
     let mut ways = place.ways.lock().unwrap();
     let (from, to) = (format!("n{router}"), format!("s-{number}"));
-    let at = *ways.entry(router).or_insert_with(|| relays.passage(&from, &to, place.engine.address));
-    let mut member = member(&to, at, phase);
+    let at = *ways.entry(router).or_insert_with(|| relays.relay_address(&from, &to, place.engine.address));
+    let mut member = roster_member(&to, at, phase);
     (member["up_since_ms"], member["locality"]) = (json!(up_since), json!(layout.zone(number).0));
     member
 }
 
 /// One router's discovery, which moves with a configuration. It names the engines as that router reaches them.
 pub(super) struct Feed {
-    pub events: Events,
+    pub events: DiscoveryEvents,
     pub open: Arc<AtomicBool>,
-    pub standin: Standin,
+    pub standin: StandinServer,
 }
 
 /// A discovery that tells these events, in the mode that all have in common.
-pub(super) fn feed(events: Events, mode: Arc<Mutex<DiscoveryMode>>) -> Feed {
+pub(super) fn feed(events: DiscoveryEvents, mode: Arc<Mutex<DiscoveryMode>>) -> Feed {
     let open = Arc::new(AtomicBool::new(true));
     let (told, all) = (open.clone(), events.clone());
-    let standin = Standin::start(move |call: &Call| {
+    let standin = StandinServer::start(move |call: &Call| {
         let present = *mode.lock().unwrap();
         if !told.load(Ordering::Relaxed) || present == DiscoveryMode::Cuts {
-            return Says::Cut;
+            return Response::CloseConnection;
         }
         match present {
-            DiscoveryMode::Silent => return Says::Nothing,
+            DiscoveryMode::Silent => return Response::NoResponse,
             // As one that is crowded, it does not keep the call besides.
             DiscoveryMode::Late(millis) => {
-                return Says::Late(Duration::from_millis(millis), Box::new(all.answer_at_once(call)));
+                return Response::Delayed(Duration::from_millis(millis), Box::new(all.answer_at_once(call)));
             }
             DiscoveryMode::Well | DiscoveryMode::Cuts => {}
         }
         let answer = all.answer(call);
-        if told.load(Ordering::Relaxed) { answer } else { Says::Cut }
+        if told.load(Ordering::Relaxed) { answer } else { Response::CloseConnection }
     });
     Feed { events, open, standin }
 }
@@ -198,7 +198,7 @@
         let asked = Instant::now();
         let sent = stream.write_all(&request(number, class, &id, WAIT, &text));
         let written = asked.elapsed();
-        let got = sent.and_then(|()| hear(stream, number));
+        let got = sent.and_then(|()| receive_answer(stream, number));
         let (router, wait, took) = (caller.router, Duration::from_millis(WAIT.into()), asked.elapsed());
         if got.is_err() {
             connection = None;
@@ -220,7 +220,7 @@
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(ANSWERED)).ok()?;
     stream.write_all(&PING).ok()?;
-    hear(&mut stream, 0).ok()?;
+    receive_answer(&mut stream, 0).ok()?;
     Some(stream)
 }
 
@@ -235,7 +235,7 @@
     let mut fields = vec![("id", id), ("wait", wait.as_str()), ("cost", cost.as_str()), ("ram", "16")];
     // All loads of a router have one key; it counts where the settings say that loads keep their order.
     fields.extend((class == "load").then_some(("key", "one")));
-    Client::request(number, class, &fields, text)
+    Client::encode_request(number, class, &fields, text)
 }
 
 /// A client that misbehaves once, over a connection of its own. `number` makes its requests' ids.
@@ -270,7 +270,7 @@
             seen.lock().unwrap().left.extend(left);
         }
         RudeClient::HalfMessage | RudeClient::Garbage => thread::sleep(RUDE_REST),
-        RudeClient::TinyDeadline => _ = hear(&mut stream, 1),
+        RudeClient::TinyDeadline => _ = receive_answer(&mut stream, 1),
     }
 }
 
@@ -286,7 +286,7 @@
         let asked = Instant::now();
         let sent = stream.write_all(&request(count, "look", &id, STAY_WAIT, "select 1 from sales_2.x"));
         let written = asked.elapsed();
-        let got = sent.and_then(|()| hear(stream, count));
+        let got = sent.and_then(|()| receive_answer(stream, count));
         if got.is_err() {
             connection = None;
         }
--- a/crates/standins/src/fleet/talk.rs
+++ b/crates/standins/src/fleet/talk.rs
@@ -10,15 +10,15 @@
 use woadhook_gossip::keys::{Pass, VoterSet, public_key_to_text};
 use woadhook_router::keyfiles;
 
-use super::{LEASE, Layout};
-use crate::cluster::{operator, secret, tag};
+use super::{LEASE_MS, Layout};
+use crate::cluster::{cluster_id, operator_key, secret_key};
 use crate::processes::free_datagram_address;
 use crate::relays::Relays;
 
 /// The operator's order that the first routers vote.
 pub(super) fn order(folder: &Path, epoch: u64, voters: usize) {
-    let keys: Vec<[u8; 32]> = (0..voters).map(|router| secret(router as u64 + 1).public()).collect();
-    let order = VoterSet::issue(&operator(), tag(), epoch, &keys).expect("an order");
+    let keys: Vec<[u8; 32]> = (0..voters).map(|router| secret_key(router as u64 + 1).public()).collect();
+    let order = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("an order");
     fs::write(folder.join("order"), order.to_text()).expect("a file");
 }
 
@@ -28,8 +28,11 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let (from, until) = (Moment::from_micros(now - 60_000_000), Moment::from_micros(now + 3_600_000_000));
     let own: Vec<SocketAddr> = (0..layout.routers).map(|_| free_datagram_address()).collect();
-    let known: Vec<SocketAddr> =
-        own.iter().enumerate().map(|(router, own)| relays.mailbox(&format!("n{router}"), *own)).collect();
+    let known: Vec<SocketAddr> = own
+        .iter()
+        .enumerate()
+        .map(|(router, own)| relays.datagram_relay_address(&format!("n{router}"), *own))
+        .collect();
     let file = |name: String| folder.join(name).to_string_lossy().into_owned();
     if layout.voters > 0 {
         order(folder, 1, layout.voters);
@@ -37,18 +40,18 @@
     (0..layout.routers)
         .map(|router| {
             let (key, pass) = (file(format!("n{router}.key")), file(format!("n{router}.pass")));
-            let mine = secret(router as u64 + 1);
-            let admitted = Pass::issue(&operator(), &format!("n{router}"), mine.public(), tag(), from, until);
+            let mine = secret_key(router as u64 + 1);
+            let admitted = Pass::issue(&operator_key(), &format!("n{router}"), mine.public(), cluster_id(), from, until);
             keyfiles::write_secret(Path::new(&key), &mine).expect("a key file");
             fs::write(&pass, admitted.expect("a pass").to_text()).expect("a file");
             let mut section = json!({"cluster": "stand-ins", "listen": own[router].to_string(),
                 "advertise": known[router].to_string(), "seeds": known.iter().take(3).map(SocketAddr::to_string)
                 .collect::<Vec<_>>(), "key": key, "pass": pass, "period_ms": 100,
-                "operator_keys": [public_key_to_text(&operator().public())]});
+                "operator_keys": [public_key_to_text(&operator_key().public())]});
             if layout.voters > 0 {
                 section["order"] = json!(file("order".to_owned()));
             }
-            let accord = json!({"period_ms": 100, "lease_ms": LEASE, "clock_tolerance_ms": 200});
+            let accord = json!({"period_ms": 100, "lease_ms": LEASE_MS, "clock_tolerance_ms": 200});
             let operator = file(format!("n{router}.jsonnet"));
             fs::write(&operator, json!({"gossip": section, "accord": accord}).to_string()).expect("a file");
             vec!["run".to_owned(), "--operator".to_owned(), operator]
--- a/crates/standins/src/folders.rs
+++ b/crates/standins/src/folders.rs
@@ -5,7 +5,7 @@
 use std::process;
 
 /// The name of a folder of this run for a story, below `base`; nothing is there yet. What runs left that have ended is removed.
-pub fn own(base: &str, story: &str) -> PathBuf {
+pub fn run_folder(base: &str, story: &str) -> PathBuf {
     let prefix = format!("{story}-");
     for entry in fs::read_dir(base).into_iter().flatten().flatten() {
         let name = entry.file_name();
--- a/crates/standins/src/hollow.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! Hollow parties, of which one process holds thousands: they answer at once, do no work and count what they get.
-
-pub mod discovery;
-pub mod engines;
--- a/crates/standins/src/hollow/discovery.rs
+++ b/crates/standins/src/lightweight/discovery.rs
@@ -1,11 +1,11 @@
-//! Hollow discovery: one router's bulletin, which counts its bytes and notes when the router had taken in each event.
+//! Lightweight discovery: one router's bulletin, which counts its bytes and notes when the router had taken in each event.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use crate::bulletin::{Events, asked};
-use crate::engines::{Call, Says, Standin, framed};
+use crate::discovery::{DiscoveryEvents, query_param};
+use crate::engines::{Call, Response, StandinServer, framed};
 
 #[derive(Default)]
 struct Seen {
@@ -16,17 +16,17 @@
 }
 
 /// A bulletin that tells one router the events that others may be told too.
-pub struct HollowDiscovery {
+pub struct LightweightDiscovery {
     pub address: SocketAddr,
     seen: Arc<Mutex<Seen>>,
-    _standin: Standin,
+    _standin: StandinServer,
 }
 
-impl HollowDiscovery {
-    pub fn start(events: Events) -> Self {
+impl LightweightDiscovery {
+    pub fn start(events: DiscoveryEvents) -> Self {
         let seen: Arc<Mutex<Seen>> = Arc::default();
         let known = seen.clone();
-        let standin = Standin::start(move |call| {
+        let standin = StandinServer::start(move |call| {
             known.lock().unwrap().asked(call);
             let says = events.answer(call);
             known.lock().unwrap().answered(&says);
@@ -42,7 +42,7 @@
     }
 
     /// When the router asked for what comes behind this event, which it does once the event is in force there.
-    pub fn in_force(&self, event: u64) -> Option<Instant> {
+    pub fn applied_at(&self, event: u64) -> Option<Instant> {
         let seen = self.seen.lock().unwrap();
         seen.taken_in.iter().find(|(after, _)| *after >= event).map(|(_, at)| *at)
     }
@@ -50,15 +50,15 @@
 
 impl Seen {
     fn asked(&mut self, call: &Call) {
-        let after = asked(call, "after");
+        let after = query_param(call, "after");
         self.received += call.size() as u64;
         if self.taken_in.last().is_none_or(|(last, _)| *last < after) {
             self.taken_in.push((after, Instant::now()));
         }
     }
 
-    fn answered(&mut self, says: &Says) {
-        if let Says::Answer(status, fields, body) = says {
+    fn answered(&mut self, says: &Response) {
+        if let Response::Full(status, fields, body) = says {
             self.sent += framed(*status, fields, body).len() as u64;
         }
     }
--- a/crates/standins/src/hollow/engines.rs
+++ b/crates/standins/src/lightweight/engines.rs
@@ -1,4 +1,4 @@
-//! Hollow engines: one listener for all their addresses. Each answers every query with one row and every probe with a load
+//! Lightweight engines: one listener for all their addresses. Each answers every query with one row and every probe with a load
 //! report, and counts both.
 
 use std::io;
@@ -14,7 +14,7 @@
 use socket2::SockRef;
 
 /// The most engines that the addresses stand for.
-pub const MOST_ENGINES: usize = 1 << 16;
+pub const MAX_ENGINES: usize = 1 << 16;
 /// The addresses begin here; the last two bytes are the engine's number.
 const NETWORK: [u8; 2] = [127, 100];
 /// Connections that wait at the one listener.
@@ -28,7 +28,7 @@
 
 /// What engines got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct RequestCounts {
     pub queries: u64,
     pub probes: u64,
     /// Bytes of probes, and of the answers to them.
@@ -45,9 +45,9 @@
 }
 
 impl Counts {
-    fn tally(&self) -> Tally {
+    fn tally(&self) -> RequestCounts {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Tally {
+        RequestCounts {
             queries: read(&self.queries),
             probes: read(&self.probes),
             probe_bytes: read(&self.probe_bytes),
@@ -63,16 +63,16 @@
 }
 
 /// Engines that differ in nothing but their addresses.
-pub struct HollowEngines {
+pub struct LightweightEngines {
     port: u16,
     shared: Arc<Shared>,
     _over: Sender<()>,
 }
 
-impl HollowEngines {
+impl LightweightEngines {
     /// So many engines, idle but for what they get.
     pub fn start(count: usize) -> io::Result<Self> {
-        assert!(count <= MOST_ENGINES, "{count} engines, {MOST_ENGINES} have addresses");
+        assert!(count <= MAX_ENGINES, "{count} engines, {MAX_ENGINES} have addresses");
         let listener = Async::<TcpListener>::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         SockRef::from(listener.get_ref()).listen(QUEUE)?;
         let port = listener.get_ref().local_addr()?.port();
@@ -99,22 +99,24 @@
     }
 
     /// The share of its processor, from 0 to 1, that each engine reports, as others load it.
-    pub fn report(&self, share: f64) {
+    pub fn set_reported_load(&self, share: f64) {
         self.shared.busy.store((share * THOUSANDTHS) as u32, Ordering::Relaxed);
     }
 
     /// What one engine got.
-    pub fn tally(&self, engine: usize) -> Tally {
+    pub fn counts(&self, engine: usize) -> RequestCounts {
         self.shared.engines[engine].tally()
     }
 
     /// What all got together.
-    pub fn total(&self) -> Tally {
-        self.shared.engines.iter().map(Counts::tally).fold(Tally::default(), |sum, each| Tally {
-            queries: sum.queries + each.queries,
-            probes: sum.probes + each.probes,
-            probe_bytes: sum.probe_bytes + each.probe_bytes,
-            report_bytes: sum.report_bytes + each.report_bytes,
+    pub fn total_counts(&self) -> RequestCounts {
+        self.shared.engines.iter().map(Counts::tally).fold(RequestCounts::default(), |sum, each| {
+            RequestCounts {
+                queries: sum.queries + each.queries,
+                probes: sum.probes + each.probes,
+                probe_bytes: sum.probe_bytes + each.probe_bytes,
+                report_bytes: sum.report_bytes + each.report_bytes,
+            }
         })
     }
 }
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -9,26 +9,26 @@
 
 /// What befalls each datagram. Delays are drawn evenly from a range, which reorders as far as it is wide.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Shares of datagrams, from 0 to 1.
     pub loss: f64,
-    pub twice: f64,
+    pub duplication: f64,
     pub delay: (Span, Span),
 }
 
-impl Weather {
-    pub fn calm() -> Self {
-        Self { loss: 0.0, twice: 0.0, delay: (Span::from_micros(200), Span::from_micros(2_000)) }
+impl NetworkConditions {
+    pub fn reliable() -> Self {
+        Self { loss: 0.0, duplication: 0.0, delay: (Span::from_micros(200), Span::from_micros(2_000)) }
     }
 
-    pub fn rough() -> Self {
-        Self { loss: 0.3, twice: 0.2, delay: (Span::from_micros(200), Span::from_micros(80_000)) }
+    pub fn unreliable() -> Self {
+        Self { loss: 0.3, duplication: 0.2, delay: (Span::from_micros(200), Span::from_micros(80_000)) }
     }
 }
 
 pub struct Network {
     chance: Pcg32,
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     /// Addresses that can't be reached from others of another number.
     sides: BTreeMap<SocketAddr, u8>,
     /// What a place's own datagrams take longer.
@@ -38,13 +38,13 @@
 }
 
 impl Network {
-    pub fn new(seed: u64, weather: Weather) -> Self {
+    pub fn new(seed: u64, weather: NetworkConditions) -> Self {
         let (sides, lags, flying) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Self { chance: Pcg32::seed_from_u64(seed), weather, sides, lags, flying, count: 0 }
+        Self { chance: Pcg32::seed_from_u64(seed), conditions: weather, sides, lags, flying, count: 0 }
     }
 
     /// From now on such places reach only one another; all others are on side 0.
-    pub fn part(&mut self, place: SocketAddr, side: u8) {
+    pub fn set_partition(&mut self, place: SocketAddr, side: u8) {
         self.sides.insert(place, side);
     }
 
@@ -52,12 +52,12 @@
         self.sides.clear();
     }
 
-    pub fn lag(&mut self, place: SocketAddr, by: Span) {
+    pub fn add_delay(&mut self, place: SocketAddr, by: Span) {
         self.lags.insert(place, by);
     }
 
     pub fn send(&mut self, now: Moment, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        let Weather { loss, twice, delay: (least, most) } = self.weather;
+        let NetworkConditions { loss, duplication: twice, delay: (least, most) } = self.conditions;
         let side = |place| self.sides.get(&place).copied().unwrap_or(0);
         if side(from) != side(to) || self.chance.random_bool(loss) {
             return;
@@ -72,13 +72,13 @@
     }
 
     /// When the next datagram arrives.
-    pub fn due(&self) -> Option<Moment> {
+    pub fn next_arrival(&self) -> Option<Moment> {
         self.flying.keys().next().map(|(at, _)| *at)
     }
 
     /// A datagram that has arrived by now: from, to and bytes.
-    pub fn arrived(&mut self, now: Moment) -> Option<(SocketAddr, SocketAddr, Vec<u8>)> {
-        self.due().filter(|at| *at <= now)?;
+    pub fn take_arrived(&mut self, now: Moment) -> Option<(SocketAddr, SocketAddr, Vec<u8>)> {
+        self.next_arrival().filter(|at| *at <= now)?;
         self.flying.pop_first().map(|(_, flight)| flight)
     }
 }
--- a/crates/standins/src/preload.rs
+++ b/crates/standins/src/preload.rs
@@ -81,7 +81,7 @@
     }
 
     /// From now on no read or write passes on more than so many bytes; with 0, as many as there are.
-    pub fn shorten(&self, most: u32) {
+    pub fn limit_transfers(&self, most: u32) {
         self.set(SHORTEST, most.into());
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// How often such a call was made to fail.
-    pub fn failed(&self, call: SystemCall) -> u64 {
+    pub fn failure_count(&self, call: SystemCall) -> u64 {
         let mut bytes = [0; 8];
         let at = (FAILED + call as usize) as u64 * 8;
         self.file.read_exact_at(&mut bytes, at).expect("the file of faults");
--- a/crates/standins/src/processes.rs
+++ b/crates/standins/src/processes.rs
@@ -15,7 +15,7 @@
 use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
 use serde_json::{Value, json};
 
-use crate::LONG;
+use crate::TEST_TIMEOUT;
 use crate::clients::Client;
 use crate::log_reader::{LogReader, Reading};
 use crate::preload::Preload;
@@ -39,7 +39,7 @@
 }
 
 /// One router as a process. It keeps its name and its address over restarts, as on the platform.
-pub struct Process {
+pub struct RouterProcess {
     program: PathBuf,
     /// What its command line says besides.
     arguments: Vec<String>,
@@ -58,35 +58,41 @@
     child: Option<Child>,
 }
 
-impl Process {
+impl RouterProcess {
     /// Starts `program`, told `told` under such a name, at an address that is free; its files go to `folder`.
     pub fn start(program: &str, folder: &Path, name: &str, told: &str) -> Self {
-        Self::with(program, &[], folder, name, told)
+        Self::start_with_arguments(program, &[], folder, name, told)
     }
 
     /// One whose command line says more.
-    pub fn with(program: &str, arguments: &[String], folder: &Path, name: &str, told: &str) -> Self {
-        Self::logging(STORY_LEVEL, program, arguments, folder, name, told)
+    pub fn start_with_arguments(
+        program: &str, arguments: &[String], folder: &Path, name: &str, told: &str,
+    ) -> Self {
+        Self::start_with_log_level(STORY_LEVEL, program, arguments, folder, name, told)
     }
 
     /// One that logs at such a level, as measurements want no line for each job.
-    pub fn logging(
+    pub fn start_with_log_level(
         level: &str, program: &str, arguments: &[String], folder: &Path, name: &str, told: &str,
     ) -> Self {
         Self::within(Vec::new(), level, program, arguments, folder, name, told)
     }
 
     /// One with faults of its system calls and its wall clock.
-    pub fn preloaded(preload: &Preload, program: &str, folder: &Path, name: &str, told: &str) -> Self {
+    pub fn start_with_preload(
+        preload: &Preload, program: &str, folder: &Path, name: &str, told: &str,
+    ) -> Self {
         Self::within(preload.environment(), STORY_LEVEL, program, &[], folder, name, told)
     }
 
     /// One whose log is read from a pipe, so that its reader can stand; with faults where there is a library for them.
-    pub fn soaked(preload: Option<&Preload>, program: &str, folder: &Path, name: &str, told: &str) -> Self {
+    pub fn start_with_log_pipe(
+        preload: Option<&Preload>, program: &str, folder: &Path, name: &str, told: &str,
+    ) -> Self {
         let environment = preload.map(Preload::environment).unwrap_or_default();
         let mut process = Self::unstarted(environment, STORY_LEVEL, program, &[], folder, name, told);
         process.reader = Some(LogReader::default());
-        process.again();
+        process.start_again();
         process
     }
 
@@ -95,7 +101,7 @@
         name: &str, told: &str,
     ) -> Self {
         let mut process = Self::unstarted(environment, level, program, arguments, folder, name, told);
-        process.again();
+        process.start_again();
         process
     }
 
@@ -130,11 +136,11 @@
     }
 
     /// Starts it from nothing, under its name and at its address.
-    pub fn again(&mut self) {
+    pub fn start_again(&mut self) {
         assert!(self.child.is_none(), "{} runs", self.name);
-        self.show_config();
+        self.restore_config();
         let log = File::options().create(true).append(true).open(&self.log).expect("a log");
-        let mut command = ends_with_this_thread(&self.program);
+        let mut command = command_killed_with_thread(&self.program);
         command.env("LB_CONFIG", &self.config).env_remove("LB_LISTEN").env_remove("RUST_LOG");
         command.env("RUST_LOG", &self.level).args(["--log-format", "json"]);
         command.args(&self.arguments).envs(self.environment.iter().map(|(name, value)| (name, value)));
@@ -153,7 +159,7 @@
     }
 
     /// Changes what it is told from its next reading on.
-    pub fn tell(&self, change: impl FnOnce(&mut Value)) {
+    pub fn change_config(&self, change: impl FnOnce(&mut Value)) {
         change(&mut self.given.lock().unwrap());
         if self.hidden.lock().unwrap().is_none() {
             self.write_config();
@@ -180,7 +186,7 @@
         *self.hidden.lock().unwrap() = Some(what);
     }
 
-    pub fn show_config(&self) {
+    pub fn restore_config(&self) {
         if self.hidden.lock().unwrap().take().is_some() {
             self.write_config();
         }
@@ -196,7 +202,7 @@
     }
 
     /// Whether something else stands in place of its configuration.
-    pub fn is_hidden(&self) -> bool {
+    pub fn is_config_hidden(&self) -> bool {
         self.hidden.lock().unwrap().is_some()
     }
 
@@ -230,7 +236,7 @@
     }
 
     /// How it ended, once it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn try_wait(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut().expect("it was started").try_wait().expect("a child")?;
         self.child = None;
         self.finish_log();
@@ -238,10 +244,10 @@
     }
 
     /// Waits for the end of one that was told to end.
-    pub fn ends(&mut self) -> ExitStatus {
-        let by = Instant::now() + LONG;
+    pub fn wait(&mut self) -> ExitStatus {
+        let by = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.try_wait() {
                 return status;
             }
             if Instant::now() > by {
@@ -254,17 +260,17 @@
 
     /// Whether it runs on: it was started and has not ended by itself.
     /// It is not waited for, so that its id stays its own.
-    pub fn lives(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         let looks = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
         let id = self.id().and_then(|id| Pid::from_raw(id as i32));
         id.is_some_and(|id| waitid(WaitId::Pid(id), looks).expect("a child").is_none())
     }
 
     /// Waits until it answers `ping` with true.
-    pub fn ready(&self) {
-        let by = Instant::now() + LONG;
+    pub fn wait_until_ready(&self) {
+        let by = Instant::now() + TEST_TIMEOUT;
         while !self.pings() {
-            assert!(Instant::now() < by, "{} is not ready:\n{}", self.name, self.said());
+            assert!(Instant::now() < by, "{} is not ready:\n{}", self.name, self.log_text());
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -272,26 +278,26 @@
     fn pings(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.address) else { return false };
         let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
-        Client(stream).tries_ping()
+        Client(stream).try_ping()
     }
 
     /// All that it has logged, over its restarts.
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
     /// The lines of its log on a job, by the job's id.
-    pub fn on_job(&self, id: &str) -> Vec<String> {
-        self.said().lines().filter(|line| line.contains(id)).map(str::to_owned).collect()
+    pub fn log_lines_of_job(&self, id: &str) -> Vec<String> {
+        self.log_text().lines().filter(|line| line.contains(id)).map(str::to_owned).collect()
     }
 }
 
-impl Drop for Process {
+impl Drop for RouterProcess {
     /// No step of it went past its guard.
     fn drop(&mut self) {
         self.kill();
         if !thread::panicking() {
-            let said = self.said();
+            let said = self.log_text();
             let violation = said.lines().find(|line| line.contains("\"event\":\"violation\""));
             assert!(violation.is_none(), "{}: {}", self.name, violation.unwrap_or_default());
         }
@@ -316,7 +322,7 @@
 
 /// A command that is killed as the thread that starts it ends, also where a test is killed and no guard runs. Where the machine has no
 /// `setpriv`, it is not.
-pub fn ends_with_this_thread(program: &Path) -> Command {
+pub fn command_killed_with_thread(program: &Path) -> Command {
     let found = Command::new(SETPRIV).arg("--version").stdout(Stdio::null()).stderr(Stdio::null()).status();
     if !found.is_ok_and(|status| status.success()) {
         return Command::new(program);
--- a/crates/standins/src/relays.rs
+++ b/crates/standins/src/relays.rs
@@ -32,20 +32,20 @@
 
 /// Whom something befalls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum EndpointSet {
     All,
     Region(String),
     Zone(String),
     Party(String),
 }
 
-impl Side {
+impl EndpointSet {
     pub fn zone(name: &str) -> Self {
-        Side::Zone(name.to_owned())
+        EndpointSet::Zone(name.to_owned())
     }
 
     pub fn party(name: &str) -> Self {
-        Side::Party(name.to_owned())
+        EndpointSet::Party(name.to_owned())
     }
 }
 
@@ -117,7 +117,7 @@
 struct Inner {
     places: BTreeMap<String, Place>,
     /// The latest that fits counts.
-    laid: Vec<(Side, Side, Way)>,
+    laid: Vec<(EndpointSet, EndpointSet, Way)>,
     /// Whether anything was ever laid.
     held_up: bool,
     chance: Pcg32,
@@ -174,13 +174,13 @@
     }
 
     /// Names a party and where it stands.
-    pub fn place(&self, name: &str, zone: &str, region: &str) {
+    pub fn add_party(&self, name: &str, zone: &str, region: &str) {
         let place = Place { zone: zone.to_owned(), region: region.to_owned() };
         self.shared.inner.lock().unwrap().places.insert(name.to_owned(), place);
     }
 
     /// An address at which `from` reaches `to`, which listens at `target`.
-    pub fn passage(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
+    pub fn relay_address(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
         let listener = Arc::new(Async::new(ports::listener()).expect("a listener"));
         let address = listener.get_ref().local_addr().expect("an address");
         let (accepts, refuses) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
@@ -232,7 +232,7 @@
 
     /// The address under which others know a party that receives datagrams at `own`. What it sends comes to them from that
     /// address too, so that proofs of addresses hold.
-    pub fn mailbox(&self, name: &str, own: SocketAddr) -> SocketAddr {
+    pub fn datagram_relay_address(&self, name: &str, own: SocketAddr) -> SocketAddr {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0)).expect("an address");
         let address = socket.get_ref().local_addr().expect("an address");
         let socket = Arc::new(socket);
@@ -257,7 +257,7 @@
     }
 
     /// What goes from one side to the other goes so from now on; all of it begins at once, and the last that fits counts.
-    pub fn lay(&self, ways: impl IntoIterator<Item = (Side, Side, Way)>) {
+    pub fn set_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut inner = self.shared.inner.lock().unwrap();
         inner.laid.extend(ways);
         inner.held_up = true;
@@ -266,12 +266,12 @@
     }
 
     /// Whether anything went otherwise than at the start at any time, so that bytes may have come later than they were sent.
-    pub fn held_anything_up(&self) -> bool {
+    pub fn ever_had_ways(&self) -> bool {
         self.shared.inner.lock().unwrap().held_up
     }
 
     /// What was laid so goes as before that.
-    pub fn lift(&self, ways: impl IntoIterator<Item = (Side, Side, Way)>) {
+    pub fn remove_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut inner = self.shared.inner.lock().unwrap();
         for way in ways {
             if let Some(place) = inner.laid.iter().rposition(|laid| *laid == way) {
@@ -289,7 +289,7 @@
     }
 
     /// From now on nothing takes connections to this party in: they are refused. Those that are up go on.
-    pub fn refuse(&self, party: &str) {
+    pub fn refuse_connections(&self, party: &str) {
         let mut inner = self.shared.inner.lock().unwrap();
         for passage in inner.passages.iter_mut().filter(|passage| passage.to == party) {
             passage.refuses.store(true, Ordering::SeqCst);
@@ -308,7 +308,7 @@
     }
 
     /// The relays' thread does not run for so long.
-    pub fn stand(&self, span: Duration) {
+    pub fn block_thread(&self, span: Duration) {
         self.executor.spawn(async move { thread::sleep(span) }).detach();
     }
 
@@ -319,7 +319,7 @@
     }
 
     /// Resets the connections that are up from one side to the other; how many.
-    pub fn reset(&self, from: &Side, to: &Side) -> usize {
+    pub fn reset(&self, from: &EndpointSet, to: &EndpointSet) -> usize {
         let inner = self.shared.inner.lock().unwrap();
         let hit = inner.up.values().filter(|(a, b, _)| inner.is_of(a, from) && inner.is_of(b, to));
         hit.map(|(.., broken)| {
@@ -331,18 +331,18 @@
 }
 
 impl Inner {
-    fn is_of(&self, name: &str, side: &Side) -> bool {
+    fn is_of(&self, name: &str, side: &EndpointSet) -> bool {
         let place = self.places.get(name);
         match side {
-            Side::All => true,
-            Side::Party(party) => party == name,
-            Side::Zone(zone) => place.is_some_and(|place| place.zone == *zone),
-            Side::Region(region) => place.is_some_and(|place| place.region == *region),
+            EndpointSet::All => true,
+            EndpointSet::Party(party) => party == name,
+            EndpointSet::Zone(zone) => place.is_some_and(|place| place.zone == *zone),
+            EndpointSet::Region(region) => place.is_some_and(|place| place.region == *region),
         }
     }
 
     fn way(&self, from: &str, to: &str) -> Way {
-        let fits = |(a, b, _): &&(Side, Side, Way)| self.is_of(from, a) && self.is_of(to, b);
+        let fits = |(a, b, _): &&(EndpointSet, EndpointSet, Way)| self.is_of(from, a) && self.is_of(to, b);
         self.laid.iter().rev().find(fits).map(|(.., way)| *way).unwrap_or_default()
     }
 
--- a/crates/standins/src/routers.rs
+++ b/crates/standins/src/routers.rs
@@ -11,17 +11,17 @@
 use woadhook_router::tasks::Tasks;
 use woadhook_router::{config, serve};
 
-use crate::LONG;
-use crate::bulletin::{Events, member};
+use crate::TEST_TIMEOUT;
+use crate::discovery::{DiscoveryEvents, roster_member};
 
 /// What a router is told; `look` may run again, `load` must not run twice.
-pub fn told(engines: &[SocketAddr], bulletin: SocketAddr, descriptors: usize) -> String {
+pub fn router_config(engines: &[SocketAddr], bulletin: SocketAddr, descriptors: usize) -> String {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "goalTimeUs": 2_000_000, "deadlineUs": 60_000_000, "gain": 1.0, "lateWorth": 1.0,
             "effect": effect})
     };
     let members =
-        engines.iter().enumerate().map(|(number, at)| member(&format!("s-{number}"), *at, "SERVING"));
+        engines.iter().enumerate().map(|(number, at)| roster_member(&format!("s-{number}"), *at, "SERVING"));
     let roster = json!({"revision": 1, "complete": true, "members": members.collect::<Vec<_>>()});
     json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": descriptors},
@@ -40,33 +40,33 @@
 }
 
 /// A router on a thread of its own.
-pub struct Running {
+pub struct RouterThread {
     pub address: SocketAddr,
-    pub orders: async_channel::Sender<OperatorCommand>,
+    pub commands: async_channel::Sender<OperatorCommand>,
     ended: Receiver<Result<(), String>>,
 }
 
-impl Running {
+impl RouterThread {
     pub fn start(engines: &[SocketAddr], bulletin: SocketAddr) -> Self {
-        Self::with(&told(engines, bulletin, 1024))
+        Self::start_with_config(&router_config(engines, bulletin, 1024))
     }
 
     /// One whose bulletin tells nothing new.
-    pub fn quiet(engines: &[SocketAddr]) -> Self {
-        Self::start(engines, Events::default().serve().address)
+    pub fn start_with_idle_discovery(engines: &[SocketAddr]) -> Self {
+        Self::start(engines, DiscoveryEvents::default().serve().address)
     }
 
-    pub fn with(told: &str) -> Self {
-        Self::talking(told, None)
+    pub fn start_with_config(told: &str) -> Self {
+        Self::start_with_gossip(told, None)
     }
 
     /// One that talks with other routers.
-    pub fn talking(told: &str, talk: Option<GossipSetup>) -> Self {
-        Self::set(told, talk, OperatorFile::default())
+    pub fn start_with_gossip(told: &str, talk: Option<GossipSetup>) -> Self {
+        Self::start_with_operator_file(told, talk, OperatorFile::default())
     }
 
     /// One with an operator file.
-    pub fn set(told: &str, talk: Option<GossipSetup>, sheet: OperatorFile) -> Self {
+    pub fn start_with_operator_file(told: &str, talk: Option<GossipSetup>, sheet: OperatorFile) -> Self {
         let given = config::parse(told, None).unwrap();
         let listener = TcpListener::bind(given.listen).unwrap();
         let address = listener.local_addr().unwrap();
@@ -77,10 +77,10 @@
             let _ =
                 end.send(async_io::block_on(tasks.run(serve(tasks, given, listener, heard, talk, &sheet))));
         });
-        Self { address, orders, ended }
+        Self { address, commands: orders, ended }
     }
 
-    pub fn ends(&self) {
-        assert_eq!(self.ended.recv_timeout(LONG), Ok(Ok(())));
+    pub fn expect_clean_end(&self) {
+        assert_eq!(self.ended.recv_timeout(TEST_TIMEOUT), Ok(Ok(())));
     }
 }
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/simulation.rs
@@ -11,13 +11,13 @@
 use woadhook_gossip::EngineCondition;
 use woadhook_host::Instance;
 
-use crate::cluster::{Cluster, secs, usual_pace};
-use crate::net::Weather;
-use crate::routers::told;
+use crate::cluster::{Cluster, default_gossip_config, secs};
+use crate::net::NetworkConditions;
+use crate::routers::router_config;
 
 /// Types of the stand-ins' settings.
-pub const LOOK: usize = 0;
-pub const LOAD: usize = 1;
+pub const LOOK_TYPE: usize = 0;
+pub const LOAD_TYPE: usize = 1;
 /// What the settings of the stand-ins say.
 const GRACE: Span = Span::from_micros(1_000_000);
 const CONNECT_TIMEOUT: Span = Span::from_micros(250_000);
@@ -27,8 +27,8 @@
 const UNASKED: Span = Span::from_micros(2_250_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Well,
+pub enum EngineState {
+    Healthy,
     /// It takes all in and says nothing.
     Silent,
     /// Its port is closed.
@@ -38,9 +38,9 @@
 /// An engine, and what it saw.
 pub struct Engine {
     pub name: String,
-    pub fate: Fate,
+    pub state: EngineState,
     /// When a dispatch came, and from which router.
-    pub sends: Vec<(Moment, usize)>,
+    pub dispatches: Vec<(Moment, usize)>,
     /// By router and job.
     executions: HashMap<(usize, usize), u32>,
     /// When each router was told that it drains or is gone.
@@ -81,10 +81,10 @@
     Probed { router: usize, engine: usize, outcome: Outcome },
     Wakes { router: usize },
     Listed { router: usize, engine: usize, listed: EngineStatus },
-    Turns { engine: usize, fate: Fate },
+    Turns { engine: usize, fate: EngineState },
 }
 
-pub struct World {
+pub struct Simulation {
     pub cluster: Cluster,
     pub engines: Vec<Engine>,
     hosts: Vec<Host>,
@@ -93,14 +93,15 @@
     ahead: BTreeMap<(Moment, u64), Happening>,
     count: u64,
     /// One job in so many is a load, which must not run twice.
-    pub loads: u64,
+    pub load_interval: u64,
 }
 
-impl World {
+impl Simulation {
     /// Routers with such rates of jobs a second; they gossip or not.
     pub fn new(seed: u64, engines: usize, rates: &[f64], talks: bool) -> Self {
-        let mut cluster = Cluster::new(seed, rates.len(), Weather::calm(), usual_pace());
-        cluster.acquaint();
+        let mut cluster =
+            Cluster::new(seed, rates.len(), NetworkConditions::reliable(), default_gossip_config());
+        cluster.introduce_all();
         let names: Vec<String> = (0..engines).map(|number| format!("s-{number}")).collect();
         let now = cluster.now;
         let hosts = rates.iter().enumerate().map(|(number, rate)| {
@@ -124,18 +125,26 @@
         });
         let hosts = hosts.collect();
         let list: Vec<&str> = names.iter().map(String::as_str).collect();
-        cluster.list(&list);
+        cluster.set_engines(&list);
         let engine = |name: &String| Engine {
             name: name.clone(),
-            fate: Fate::Well,
-            sends: Vec::new(),
+            state: EngineState::Healthy,
+            dispatches: Vec::new(),
             executions: HashMap::new(),
             told: HashMap::new(),
         };
         let engines = names.iter().map(engine).collect();
         let chance = Pcg32::seed_from_u64(seed);
-        let mut new =
-            Self { cluster, engines, hosts, talks, chance, ahead: BTreeMap::new(), count: 0, loads: 20 };
+        let mut new = Self {
+            cluster,
+            engines,
+            hosts,
+            talks,
+            chance,
+            ahead: BTreeMap::new(),
+            count: 0,
+            load_interval: 20,
+        };
         for router in 0..rates.len() {
             new.next_arrival(router);
         }
@@ -152,17 +161,19 @@
     }
 
     /// An engine's fate changes after a span.
-    pub fn turns(&mut self, after: Span, engine: usize, fate: Fate) {
+    pub fn set_engine_state_after(&mut self, after: Span, engine: usize, fate: EngineState) {
         self.happens(self.now() + after, Happening::Turns { engine, fate });
     }
 
     /// A router's list says so after a span.
-    pub fn lists(&mut self, after: Span, router: usize, engine: usize, listed: EngineStatus) {
+    pub fn set_engine_status_after(
+        &mut self, after: Span, router: usize, engine: usize, listed: EngineStatus,
+    ) {
         self.happens(self.now() + after, Happening::Listed { router, engine, listed });
     }
 
     /// A router hears a doubt, whoever says so.
-    pub fn whisper(&mut self, router: usize, engine: usize, of: Option<usize>, doubt: f64) {
+    pub fn peer_report(&mut self, router: usize, engine: usize, of: Option<usize>, doubt: f64) {
         let now = self.now();
         if let Some(id) = self.id(router, engine) {
             self.hosts[router].instance.router.peer_reported(now, id, of.map(TypeId), doubt);
@@ -178,11 +189,11 @@
         }
     }
 
-    pub fn pass(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let until = self.now() + span;
         loop {
             let next = self.ahead.keys().next().map(|(at, _)| *at);
-            let gossip = self.cluster.due();
+            let gossip = self.cluster.next_step_at();
             if gossip.is_some_and(|at| at <= until && next.is_none_or(|next| at < next)) {
                 self.cluster.step(until);
                 self.take_hearsay();
@@ -199,7 +210,7 @@
     }
 
     fn take_hearsay(&mut self) {
-        while let Some((router, engine, of, doubt)) = self.cluster.heard.pop_front() {
+        while let Some((router, engine, of, doubt)) = self.cluster.pending_reports.pop_front() {
             if !self.talks {
                 continue;
             }
@@ -215,7 +226,7 @@
 
     fn tell(&mut self, router: usize, act: impl FnOnce(Moment, &mut woadhook_gossip::Gossip)) {
         if self.talks && self.cluster.nodes[router].core.is_some() {
-            self.cluster.at(router, act);
+            self.cluster.with_core(router, act);
             self.take_hearsay();
         }
     }
@@ -227,7 +238,8 @@
                 self.next_arrival(router);
                 let host = &mut self.hosts[router];
                 host.arrivals += 1;
-                let kind = if host.arrivals.is_multiple_of(self.loads) { LOAD } else { LOOK };
+                let kind =
+                    if host.arrivals.is_multiple_of(self.load_interval) { LOAD_TYPE } else { LOOK_TYPE };
                 let job = host.jobs.len();
                 host.jobs.push(Job { kind, arrived: now, answers: Vec::new(), dispatches: 0 });
                 let group = GroupId((host.arrivals % 7) as usize);
@@ -273,8 +285,8 @@
                 self.pull(router);
             }
             Happening::Turns { engine, fate } => {
-                self.engines[engine].fate = fate;
-                if fate == Fate::Dead {
+                self.engines[engine].state = fate;
+                if fate == EngineState::Dead {
                     let lost: Vec<_> = self
                         .hosts
                         .iter()
@@ -300,7 +312,7 @@
         let now = self.now();
         let Some((engine, sent)) = self.hosts[router].out.get(&(job, number)).copied() else { return };
         // A silent engine has no end to tell; only time and the router itself end it there.
-        if outcome == Outcome::Done && self.engines[engine].fate != Fate::Well {
+        if outcome == Outcome::Done && self.engines[engine].state != EngineState::Healthy {
             return;
         }
         let host = &mut self.hosts[router];
@@ -326,7 +338,7 @@
                 }
                 Decision::CancelDispatch { job, number } => {
                     let engine = self.hosts[router].out.get(&(job.0, number)).map(|(engine, _)| *engine);
-                    let slow = engine.is_some_and(|engine| self.engines[engine].fate == Fate::Silent);
+                    let slow = engine.is_some_and(|engine| self.engines[engine].state == EngineState::Silent);
                     let after = if slow { UNASKED } else { secs(0.002) };
                     let ends = Happening::Ends { router, job: job.0, number, outcome: Outcome::Cancelled };
                     self.happens(now + after, ends);
@@ -342,10 +354,10 @@
                     let Some(place) = self.engines.iter().position(|known| known.name == name) else {
                         continue;
                     };
-                    let (after, outcome) = match self.engines[place].fate {
-                        Fate::Well => (secs(0.002), Outcome::Done),
-                        Fate::Silent => (CONNECT_TIMEOUT, Outcome::TimedOut),
-                        Fate::Dead => (secs(0.001), Outcome::NotConnected),
+                    let (after, outcome) = match self.engines[place].state {
+                        EngineState::Healthy => (secs(0.002), Outcome::Done),
+                        EngineState::Silent => (CONNECT_TIMEOUT, Outcome::TimedOut),
+                        EngineState::Dead => (secs(0.001), Outcome::NotConnected),
                     };
                     self.happens(now + after, Happening::Probed { router, engine: place, outcome });
                 }
@@ -384,13 +396,13 @@
         host.jobs[job].dispatches += 1;
         host.out.insert((job, number), (place, now));
         let to = &mut self.engines[place];
-        let (after, outcome) = match to.fate {
-            Fate::Well | Fate::Silent => {
-                to.sends.push((now, router));
+        let (after, outcome) = match to.state {
+            EngineState::Healthy | EngineState::Silent => {
+                to.dispatches.push((now, router));
                 *to.executions.entry((router, job)).or_default() += 1;
                 (WORK, Outcome::Done)
             }
-            Fate::Dead => (secs(0.001), Outcome::NotConnected),
+            EngineState::Dead => (secs(0.001), Outcome::NotConnected),
         };
         self.happens(now + after, Happening::Ends { router, job, number, outcome });
         let late = Happening::Ends { router, job, number, outcome: Outcome::TimedOut };
@@ -398,7 +410,7 @@
     }
 
     /// Jobs of a router that arrived in a stretch of time, by how they ended: done, throttled, cancelled for good, open.
-    pub fn tally(&self, router: usize, from: Moment, to: Moment) -> [usize; 4] {
+    pub fn job_outcomes(&self, router: usize, from: Moment, to: Moment) -> [usize; 4] {
         let mut tally = [0; 4];
         for job in self.hosts[router].jobs.iter().filter(|job| (from..to).contains(&job.arrived)) {
             let place = match job.answers.first() {
@@ -413,7 +425,7 @@
     }
 
     /// The mean time to the answer of a router's done jobs that arrived in a stretch, and the longest.
-    pub fn times(&self, router: usize, from: Moment, to: Moment) -> (Span, Span) {
+    pub fn answer_times(&self, router: usize, from: Moment, to: Moment) -> (Span, Span) {
         let done = self.hosts[router].jobs.iter().filter(|job| (from..to).contains(&job.arrived));
         let took: Vec<Span> = done
             .filter_map(|job| match job.answers.first() {
@@ -426,20 +438,21 @@
     }
 
     /// Dispatches of a router to an engine in a stretch of time.
-    pub fn sends(&self, engine: usize, router: usize, from: Moment, to: Moment) -> usize {
-        let sends = self.engines[engine].sends.iter();
+    pub fn dispatch_count(&self, engine: usize, router: usize, from: Moment, to: Moment) -> usize {
+        let sends = self.engines[engine].dispatches.iter();
         sends.filter(|(at, by)| *by == router && (from..to).contains(at)).count()
     }
 
     /// The longest stretch within a time in which an engine got nothing at all.
-    pub fn idle(&self, engine: usize, from: Moment, to: Moment) -> Span {
-        let sends = self.engines[engine].sends.iter().map(|(at, _)| *at).filter(|at| (from..to).contains(at));
+    pub fn longest_idle(&self, engine: usize, from: Moment, to: Moment) -> Span {
+        let sends =
+            self.engines[engine].dispatches.iter().map(|(at, _)| *at).filter(|at| (from..to).contains(at));
         let edges: Vec<Moment> = std::iter::once(from).chain(sends).chain([to]).collect();
         edges.windows(2).map(|pair| pair[1].since(pair[0])).max().unwrap_or_default()
     }
 
     /// Which rules were broken: one answer each (of jobs whose time is up), no load twice, drains kept.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let mut broken = Vec::new();
         for (router, host) in self.hosts.iter().enumerate() {
             for (number, job) in host.jobs.iter().enumerate() {
@@ -451,11 +464,11 @@
         }
         for engine in &self.engines {
             for ((router, job), _) in engine.executions.iter().filter(|(_, count)| **count > 1) {
-                if self.hosts[*router].jobs[*job].kind == LOAD {
+                if self.hosts[*router].jobs[*job].kind == LOAD_TYPE {
                     broken.push(format!("{}: load {job} of router {router} ran twice", engine.name));
                 }
             }
-            for (at, router) in &engine.sends {
+            for (at, router) in &engine.dispatches {
                 let told = engine.told.get(router);
                 if told.is_some_and(|told| *at > *told + GRACE) {
                     broken.push(format!("{}: a send of router {router} after its drain", engine.name));
@@ -466,7 +479,7 @@
         let mut runs: HashMap<(usize, usize), u32> = HashMap::new();
         everywhere.for_each(|key| *runs.entry(*key).or_default() += 1);
         for ((router, job), _) in runs.iter().filter(|(_, count)| **count > 1) {
-            if self.hosts[*router].jobs[*job].kind == LOAD {
+            if self.hosts[*router].jobs[*job].kind == LOAD_TYPE {
                 broken.push(format!("load {job} of router {router} ran at two engines"));
             }
         }
@@ -476,7 +489,7 @@
 
 fn settings(routers: usize, number: usize) -> Value {
     let nobody = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut given: Value = serde_json::from_str(&told(&[], nobody, 1024)).unwrap();
+    let mut given: Value = serde_json::from_str(&router_config(&[], nobody, 1024)).unwrap();
     let mut settings = given["settings"].take();
     settings["replicasOfMe"] = routers.into();
     settings["myNumber"] = number.into();
--- a/crates/standins/tests/scale.rs
+++ b/crates/standins/tests/scale.rs
@@ -1,9 +1,9 @@
-//! The parts of the scale example that can be wrong: its lines, its limits and their errors, and the hollow parties.
+//! The parts of the scale example that can be wrong: its lines, its limits and their errors, and the lightweight parties.
 
 use clap::Parser;
-use woadhook_standins::hollow::discovery::HollowDiscovery;
-use woadhook_standins::hollow::engines::HollowEngines;
-use woadhook_standins::{Client, Events, LONG, Running, member};
+use woadhook_standins::lightweight::discovery::LightweightDiscovery;
+use woadhook_standins::lightweight::engines::LightweightEngines;
+use woadhook_standins::{Client, DiscoveryEvents, RouterThread, TEST_TIMEOUT, roster_member};
 
 #[allow(dead_code, reason = "the example uses the rest")]
 #[path = "../examples/scale/arguments.rs"]
@@ -110,20 +110,20 @@
 
 #[test]
 fn hollow_parties_serve_a_router_and_count() {
-    let (engines, events) = (HollowEngines::start(3).unwrap(), Events::default());
-    let discovery = HollowDiscovery::start(events.clone());
+    let (engines, events) = (LightweightEngines::start(3).unwrap(), DiscoveryEvents::default());
+    let discovery = LightweightDiscovery::start(events.clone());
     let listed: Vec<_> = (0..2).map(|engine| engines.address(engine)).collect();
-    let router = Running::start(&listed, discovery.address);
-    let mut client = Client::new(&router);
+    let router = RouterThread::start(&listed, discovery.address);
+    let mut client = Client::connect(&router);
     for number in 1..=20 {
-        client.asks(number, "look", 10_000);
-        assert_eq!(client.hears(), (number, Ok("a\tb\tc\n".to_owned())));
+        client.send_job(number, "look", 10_000);
+        assert_eq!(client.receive(), (number, Ok("a\tb\tc\n".to_owned())));
     }
-    assert_eq!(engines.total().queries, 20);
-    assert_eq!(engines.tally(0).queries + engines.tally(1).queries, 20);
-    events.add(2, vec![member("late", engines.address(2), "SERVING")]);
-    let until = std::time::Instant::now() + LONG;
-    while discovery.in_force(2).is_none() {
+    assert_eq!(engines.total_counts().queries, 20);
+    assert_eq!(engines.counts(0).queries + engines.counts(1).queries, 20);
+    events.add(2, vec![roster_member("late", engines.address(2), "SERVING")]);
+    let until = std::time::Instant::now() + TEST_TIMEOUT;
+    while discovery.applied_at(2).is_none() {
         assert!(std::time::Instant::now() < until, "the change is not in force");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
