--- a/crates/router/tests/promises.rs
+++ b/crates/router/tests/promises.rs
@@ -59,7 +59,7 @@
     let tests = ["fn a_test_of_some_sort() {".to_owned()];
     assert_eq!(fault("a_test_of_some_sort", &tests), None);
     assert!(fault("a_test_of_no_sort", &tests).is_some());
-    assert_eq!(fault("stop.rs::wait", &tests), None);
+    assert_eq!(fault("stop.rs::shut_down", &tests), None);
     assert!(fault("stop.rs::weight", &tests).is_some());
     assert!(fault("stops.rs::wait", &tests).is_some());
 }
