--- a/crates/router/tests/soak.rs
+++ b/crates/router/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A slice of the soak: troubles that overlap in time, from seeds, on processes of their own. Its length is bounded; the
-//! whole one is `examples/soak.rs` of the stand-ins.
+//! A bounded part of the soak: overlapping faults drawn from a seed, against router processes. The whole soak
+//! is `examples/soak.rs` of woadhook-standins.
 
 use woadhook_standins::fleet::{Fleet, Layout};
 use woadhook_standins::folders;
@@ -7,41 +7,41 @@
 
 const ROUTERS: usize = 8;
 const ENGINES: usize = 8;
-/// How long troubles begin, in milliseconds.
-const LENGTH: u64 = 8_000;
+/// The time in which faults begin, in milliseconds.
+const FAULT_PERIOD_MS: u64 = 8_000;
 
-fn play(plan: &Plan) {
+fn run(plan: &Plan) {
     let folder = folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("soak-{}", plan.seed));
     let layout =
         Layout { ordered: true, failing_system_calls: true, ..Layout::single_zone(ROUTERS, ENGINES) };
     let fleet = Fleet::start(env!("CARGO_BIN_EXE_woadhook"), &folder, layout);
     let late = fleet.run_plan(plan).late_steps;
     fleet.wait_for_drains();
-    let told = |fault| panic!("{fault}\nschedule: {:#?}\nthe rig was late: {late:#?}", plan.troubles);
-    let tally = fleet.verdict().unwrap_or_else(told);
+    let report = |fault| panic!("{fault}\nschedule: {:#?}\nlate fault injections: {late:#?}", plan.troubles);
+    let tally = fleet.verdict().unwrap_or_else(report);
     assert!(tally.done > 100, "{tally:?}");
 }
 
 #[test]
-fn troubles_that_overlap_break_no_rule() {
-    [1, 2].map(|seed| Plan::draw(seed, ROUTERS, ENGINES, LENGTH)).iter().for_each(play);
+fn overlapping_faults_break_no_rule() {
+    [1, 2].map(|seed| Plan::draw(seed, ROUTERS, ENGINES, FAULT_PERIOD_MS)).iter().for_each(run);
 }
 
 #[test]
-fn the_same_seed_draws_the_same_troubles() {
-    let drawn = |seed| Plan::draw(seed, 30, 20, 60_000);
-    assert_eq!(drawn(3), drawn(3));
-    assert_ne!(drawn(3), drawn(4));
+fn the_same_seed_draws_the_same_faults() {
+    let draw = |seed| Plan::draw(seed, 30, 20, 60_000);
+    assert_eq!(draw(3), draw(3));
+    assert_ne!(draw(3), draw(4));
 }
 
 #[test]
-fn a_plan_shrinks_to_the_troubles_that_matter() {
-    let whole = Plan::draw(5, 12, 8, 60_000);
+fn a_plan_shrinks_to_the_faults_that_matter() {
+    let full_plan = Plan::draw(5, 12, 8, 60_000);
     let kinds = |plan: &Plan| plan.troubles.iter().map(|timed| timed.trouble.kind()).collect::<Vec<_>>();
-    let matters = |plan: &Plan| {
+    let is_relevant = |plan: &Plan| {
         let kinds = kinds(plan);
         kinds.iter().any(|kind| kind == "Stand") && kinds.iter().any(|kind| kind == "Replace")
     };
-    assert!(matters(&whole), "{:?}", kinds(&whole));
-    assert_eq!(whole.shrink(matters).troubles.len(), 2);
+    assert!(is_relevant(&full_plan), "{:?}", kinds(&full_plan));
+    assert_eq!(full_plan.shrink(is_relevant).troubles.len(), 2);
 }
