--- a/crates/router/tests/slow.rs
+++ b/crates/router/tests/slow.rs
@@ -1,4 +1,4 @@
-//! Peers that read or write too slowly, on loopback, and what the others notice of them.
+//! Peers that read or write too slowly, on loopback, and their effect on others.
 
 use std::io::Write;
 use std::path::Path;
@@ -11,19 +11,20 @@
 
 const ROWS: &str = "a\tb\tc\n";
 
-/// A router that bears little.
-fn strict(engines: &[std::net::SocketAddr]) -> RouterThread {
-    let told = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
-    let sheet = r#"{"pace": {"client_sends_bytes_per_s": 60, "client_grace_ms": 300, "client_takes_bytes_per_s": 100000}}"#;
+/// A router with strict limits.
+fn strict_router(engines: &[std::net::SocketAddr]) -> RouterThread {
+    let config = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
+    let operator_file = r#"{"pace": {"client_sends_bytes_per_s": 60, "client_grace_ms": 300, "client_takes_bytes_per_s": 100000}}"#;
     RouterThread::start_with_operator_file(
-        &told,
+        &config,
         None,
-        OperatorFile::parse(sheet, Path::new("strict")).unwrap(),
+        OperatorFile::parse(operator_file, Path::new("strict")).unwrap(),
     )
 }
 
-/// Writes a message a byte at a time; how long it took until that was refused, or nothing if all was taken.
-fn trickles(client: &mut Client, message: &[u8], gap: Duration) -> Option<Duration> {
+/// Writes a message one byte at a time. Returns the time until a write failed, or `None` if all bytes were
+/// accepted.
+fn write_slowly(client: &mut Client, message: &[u8], gap: Duration) -> Option<Duration> {
     let began = Instant::now();
     for byte in message {
         thread::sleep(gap);
@@ -35,121 +36,122 @@
 }
 
 #[test]
-fn a_request_that_trickles_in_just_above_the_rate_is_served_and_just_below_is_dropped() {
+fn a_request_just_above_the_minimum_rate_is_served_and_just_below_is_dropped() {
     let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
-    let router = strict(&[engine.address]);
+    let router = strict_router(&[engine.address]);
     let message = Client::encode_job(1, "look", "9b1f03aa5c7e2d41", 20_000, "select 1 from a_1.x");
     let (above, below) = (Duration::from_millis(10), Duration::from_millis(60));
     let mut client = Client::connect(&router);
     assert!(client.ping(9));
-    assert_eq!(trickles(&mut client, &message, above), None);
+    assert_eq!(write_slowly(&mut client, &message, above), None);
     assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())));
     let mut slow = Client::connect(&router);
     assert!(slow.ping(9));
-    let dropped = trickles(&mut slow, &message, below).expect("dropped before its last byte");
+    let dropped =
+        write_slowly(&mut slow, &message, below).expect("the connection is dropped before the last byte");
     assert!(
         dropped < Duration::from_millis(1_400),
-        "by the rate, not by the whole message's time: {dropped:?}"
+        "dropped by the time limit of the message, not by its rate: {dropped:?}"
     );
 }
 
 #[test]
-fn hundreds_that_trickle_keep_no_usual_client_out() {
+fn hundreds_of_slow_clients_keep_no_normal_client_out() {
     let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
-    let router = strict(&[engine.address]);
+    let router = strict_router(&[engine.address]);
     let message = Client::encode_job(1, "look", "9b1f03aa5c7e2d41", 20_000, "select 1 from a_1.x");
     let mut slow: Vec<Client> = (0..400).map(|_| Client::connect(&router)).collect();
     for (number, client) in slow.iter_mut().enumerate() {
         let _ = client.0.write_all(&message[..1 + number % 20]);
     }
     for number in 1..=20 {
-        let mut usual = Client::connect(&router);
-        usual.send_job(number, "look", 20_000);
-        assert_eq!(usual.receive(), (number, Ok(ROWS.to_owned())));
+        let mut normal = Client::connect(&router);
+        normal.send_job(number, "look", 20_000);
+        assert_eq!(normal.receive(), (number, Ok(ROWS.to_owned())));
     }
     assert!(slow.iter_mut().all(Client::is_closed));
 }
 
 #[test]
-fn answers_that_nobody_takes_cost_the_connection_and_stop_ends_in_time() {
+fn answers_that_nobody_reads_close_the_connection_and_shutdown_ends_in_time() {
     let row = format!("{}\tb\tc\n", "x".repeat(5_900));
     let page: &'static str = row.leak();
     let engine = StandinServer::start(move |call| result_page(call, &[page; 8]));
-    let router = strict(&[engine.address]);
-    let mut greedy = Client::with_small_receive_buffer(&router);
+    let router = strict_router(&[engine.address]);
+    let mut non_reader = Client::with_small_receive_buffer(&router);
     for round in 0..4 {
         for number in 1..=30 {
-            greedy.send_job(round * 30 + number, "look", 20_000);
+            non_reader.send_job(round * 30 + number, "look", 20_000);
         }
         thread::sleep(Duration::from_millis(150));
     }
-    let mut usual = Client::connect(&router);
-    usual.send_job(1, "look", 20_000);
-    assert!(usual.receive().1.is_ok());
-    // Whole answers up to some point, then the end: the client can tell.
+    let mut normal = Client::connect(&router);
+    normal.send_job(1, "look", 20_000);
+    assert!(normal.receive().1.is_ok());
+    // The client sees complete answers up to some point and then the end of the connection.
     router.commands.send_blocking(OperatorCommand::Stop).unwrap();
     router.expect_clean_end();
-    assert!(greedy.is_closed());
+    assert!(non_reader.is_closed());
 }
 
 #[test]
-fn a_page_at_a_crawl_is_asked_for_again_on_a_new_connection_and_nothing_runs_twice() {
-    let long: &'static str = ROWS.repeat(200).leak();
+fn a_slow_page_is_requested_again_on_a_new_connection_and_nothing_runs_twice() {
+    let long_page: &'static str = ROWS.repeat(200).leak();
     let mut first = true;
     let engine = StandinServer::start(move |call| {
         if call.line.contains("/1 ") && std::mem::take(&mut first) {
             return Response::InPieces(
                 200,
                 vec!["X-Batch: 1".to_owned()],
-                long.into(),
+                long_page.into(),
                 4,
                 Duration::from_millis(40),
             );
         }
-        result_page(call, &[long, long])
+        result_page(call, &[long_page, long_page])
     });
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     client.send_job(1, "load", 20_000);
-    assert_eq!(client.receive(), (1, Ok(long.repeat(2))));
+    assert_eq!(client.receive(), (1, Ok(long_page.repeat(2))));
     let calls = engine.received_calls("");
-    let of = |start: &str| calls.iter().filter(|call| call.line.starts_with(start)).collect::<Vec<_>>();
-    assert_eq!(of("POST").len(), 1);
-    let asked = of("GET /v2/q/0000000000000001/1 ");
-    assert_eq!(asked.len(), 2);
-    assert_ne!(asked[0].connection, asked[1].connection);
+    let calls_to = |start: &str| calls.iter().filter(|call| call.line.starts_with(start)).collect::<Vec<_>>();
+    assert_eq!(calls_to("POST").len(), 1);
+    let page_calls = calls_to("GET /v2/q/0000000000000001/1 ");
+    assert_eq!(page_calls.len(), 2);
+    assert_ne!(page_calls[0].connection, page_calls[1].connection);
 }
 
 #[test]
-fn where_all_engines_crawl_a_result_comes_as_it_comes() {
-    let long: &'static str = ROWS.repeat(300).leak();
+fn a_slow_result_is_served_where_all_engines_are_slow() {
+    let long_page: &'static str = ROWS.repeat(300).leak();
     let engine = StandinServer::start(move |call| match call.line.split(' ').next() {
         Some("POST") => response(202, &[], ""),
         Some("GET") if call.line.contains("/1 ") => Response::InPieces(
             200,
             vec!["X-Batch: 1".to_owned()],
-            long.into(),
+            long_page.into(),
             120,
             Duration::from_millis(90),
         ),
-        _ => result_page(call, &[long, long]),
+        _ => result_page(call, &[long_page, long_page]),
     });
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     client.send_job(1, "load", 30_000);
-    assert_eq!(client.receive(), (1, Ok(long.repeat(2))));
+    assert_eq!(client.receive(), (1, Ok(long_page.repeat(2))));
     assert_eq!(engine.received_calls("POST").len(), 1);
 }
 
 #[test]
-fn a_head_that_crawls_or_a_last_byte_that_never_comes_is_asked_for_again() {
-    for (piece, held) in [(1, 0), (400, 1)] {
+fn a_page_with_a_slow_head_or_a_missing_last_byte_is_requested_again() {
+    for (piece, missing_bytes) in [(1, 0), (400, 1)] {
         let mut first = true;
         let engine = StandinServer::start(move |call| {
             if call.line.contains("/1 ") && std::mem::take(&mut first) {
                 let mut body = ROWS.as_bytes().to_vec();
-                body.truncate(body.len() - held);
-                // The head tells the whole length; the last byte stays away.
+                body.truncate(body.len() - missing_bytes);
+                // The head gives the full length; the last byte never arrives.
                 let fields = vec!["X-Batch: 1".to_owned(), format!("X-Pad: {}", "p".repeat(200))];
-                return if held == 0 {
+                return if missing_bytes == 0 {
                     Response::InPieces(200, fields, body, piece, Duration::from_millis(60))
                 } else {
                     let head =
@@ -167,29 +169,33 @@
 }
 
 #[test]
-fn a_client_that_pauses_for_three_seconds_gets_all_and_one_that_pauses_too_long_can_tell() {
+fn a_client_that_pauses_gets_all_answers_within_its_grace_and_a_visible_end_beyond() {
     let row = format!("{}\tb\tc\n", "x".repeat(5_900));
     let page: &'static str = row.leak();
     let engine = StandinServer::start(move |call| result_page(call, &[page; 8]));
-    for (grace, whole) in [(4_000, true), (500, false)] {
-        let told = router_config(&[engine.address], DiscoveryEvents::default().serve().address, 1024);
-        let sheet = format!(r#"{{"pace": {{"client_grace_ms": {grace}}}}}"#);
+    for (grace, is_complete) in [(4_000, true), (500, false)] {
+        let config = router_config(&[engine.address], DiscoveryEvents::default().serve().address, 1024);
+        let operator_file = format!(r#"{{"pace": {{"client_grace_ms": {grace}}}}}"#);
         let router = RouterThread::start_with_operator_file(
-            &told,
+            &config,
             None,
-            OperatorFile::parse(&sheet, Path::new("patient")).unwrap(),
+            OperatorFile::parse(&operator_file, Path::new("patient")).unwrap(),
         );
         let mut client = Client::with_small_receive_buffer(&router);
-        let most = 60;
-        for number in 1..=most {
+        let requests = 60;
+        for number in 1..=requests {
             client.send_job(number, "look", 20_000);
             if number % 20 == 0 {
-                // So that no more than 32 are open, as the protocol wants it.
+                // So that no more than 32 requests are open, as the protocol demands.
                 thread::sleep(Duration::from_millis(300));
             }
         }
         thread::sleep(Duration::from_secs(3));
-        let taken = client.count_answers(most);
-        assert_eq!(taken == most as usize, whole, "{taken} whole answers with {grace} ms of grace");
+        let taken = client.count_answers(requests);
+        assert_eq!(
+            taken == requests as usize,
+            is_complete,
+            "{taken} complete answers with {grace} ms of grace"
+        );
     }
 }
