--- a/crates/router/tests/stories/main.rs
+++ b/crates/router/tests/scenarios/main.rs
@@ -1,4 +1,5 @@
-//! Short stories on loopback, one for each failure met or feared on sockets.
+//! Scenarios of one router against stand-ins on loopback, one for each failure that was met or is expected on
+//! sockets.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -16,8 +17,8 @@
 use woadhook_router::{codec, config};
 use woadhook_standins::*;
 
-/// An address at which nothing listens; a free port could be another story's by then.
-fn nobody() -> SocketAddr {
+/// An address at which nothing listens. A free port could belong to another scenario by the time it is used.
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
@@ -26,10 +27,10 @@
 }
 
 #[test]
-fn a_result_of_many_pages_arrives_whole_and_in_order() {
+fn a_result_of_many_pages_arrives_complete_and_in_order() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n", "d\te\tf\n", "g\th\ti\n"]));
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
-    // A request may come in pieces.
+    // A request may arrive in pieces.
     for byte in Client::encode_job(7, "look", "9b1f03aa5c7e2d41", 20_000, "select 'x' from sales_17.orders") {
         client.0.write_all(&[byte]).unwrap();
     }
@@ -42,11 +43,11 @@
 }
 
 #[test]
-fn news_are_asked_for_until_the_end() {
-    let mut left = 3_usize;
+fn a_running_query_is_polled_until_it_ends() {
+    let mut answers_left = 3_usize;
     let engine = StandinServer::start(move |call| {
-        left -= usize::from(call.line.contains("/v2/q"));
-        if left > 0 {
+        answers_left -= usize::from(call.line.contains("/v2/q"));
+        if answers_left > 0 {
             response(202, &["X-Result: pct", "X-Num: 0.5"], "")
         } else {
             result_page(call, &["a\tb\tc\n"])
@@ -60,14 +61,14 @@
 }
 
 #[test]
-fn a_result_that_is_not_whole_is_never_served() {
-    let broken: [fn(&Call) -> Response; 4] = [
+fn an_incomplete_result_is_never_served() {
+    let failures: [fn(&Call) -> Response; 4] = [
         |_| response(500, &[], ""),
         |_| response(200, &["X-Batch: 2"], "d\te\tf\n"),
         |_| response(200, &["X-Batch: 1"], "d\te"),
         |_| response(200, &["X-Batch: 1"], &"x\n".repeat(25_000)),
     ];
-    for (number, second) in broken.into_iter().enumerate() {
+    for (number, second) in failures.into_iter().enumerate() {
         let engine = StandinServer::start(move |call| match call.line.split(' ').next() {
             Some("POST") => response(200, &["X-Batches: 2"], "a\tb\tc\n"),
             _ => second(call),
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_copy_tells_the_first_dispatch_the_new_priority() {
+fn a_second_copy_passes_the_new_priority_to_the_first_dispatch() {
     let (first, second) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
     let engines = [0, 1].map(|_| {
         let (first, second) = (first.clone(), second.clone());
@@ -115,15 +116,15 @@
         })
     });
     let bulletin = DiscoveryEvents::default().serve();
-    let told = router_config(&engines.each_ref().map(|engine| engine.address), bulletin.address, 1024)
+    let config = router_config(&engines.each_ref().map(|engine| engine.address), bulletin.address, 1024)
         .replace("\"cancelling\":true", "\"cancelling\":false,\"secondCopies\":true");
-    let mut client = Client::connect(&RouterThread::start_with_config(&told));
+    let mut client = Client::connect(&RouterThread::start_with_config(&config));
     client.send_job(1, "look", 10_000);
     assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
-fn a_client_that_leaves_withdraws_its_jobs() {
+fn a_client_that_disconnects_withdraws_its_jobs() {
     let engine = StandinServer::start(|call| {
         response(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], "")
     });
@@ -135,19 +136,19 @@
 }
 
 #[test]
-fn a_silent_query_ends_at_its_time_and_is_deleted() {
+fn a_query_without_an_answer_times_out_and_is_deleted() {
     let engine =
         StandinServer::start(|call| if post(call) { Response::NoResponse } else { response(204, &[], "") });
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     client.send_job(1, "load", 1_000);
     assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     engine.wait_for_call("DELETE");
-    // And it had only this answer.
+    // The job got only this answer.
     assert!(client.ping(2));
 }
 
 #[test]
-fn a_reply_after_a_give_up_reaches_no_client() {
+fn a_late_reply_reaches_no_client() {
     let (open, gate) = std::sync::mpsc::channel();
     let engine = StandinServer::start(move |call| {
         if post(call) {
@@ -167,11 +168,11 @@
 }
 
 #[test]
-fn what_failed_dispatches_held_comes_back() {
-    let (mut step, mended) = (0, Arc::new(AtomicBool::new(false)));
-    let now_well = mended.clone();
+fn failed_dispatches_release_their_resources() {
+    let (mut step, recovered) = (0, Arc::new(AtomicBool::new(false)));
+    let has_recovered = recovered.clone();
     let engine = StandinServer::start(move |call| {
-        if now_well.load(Ordering::Relaxed) {
+        if has_recovered.load(Ordering::Relaxed) {
             return result_page(call, &["a\tb\tc\n"]);
         }
         if !post(call) {
@@ -185,7 +186,7 @@
             _ => response(503, &["X-Declined: 1"], ""),
         }
     });
-    // Two descriptors for queries, one for errands, and twelve failures of each kind.
+    // There are two descriptors for queries and one for control calls, and twelve failures of each kind.
     let bulletin = DiscoveryEvents::default().serve();
     let mut client = Client::connect(&RouterThread::start_with_config(&router_config(
         &[engine.address],
@@ -196,16 +197,16 @@
         client.send_job(number, "load", 100);
         assert!(client.receive().1.is_err());
     }
-    mended.store(true, Ordering::Relaxed);
+    recovered.store(true, Ordering::Relaxed);
     client.send_job(49, "load", 20_000);
     assert_eq!(client.receive(), (49, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
-fn bodies_in_chunks_are_read_whole_and_others_not() {
+fn chunked_bodies_are_served_and_incomplete_ones_are_not() {
     let served = Ok("a\tb\tc\nd\te\tf\n".to_owned());
-    for (words, result) in [
-        // Nobody can tell whether this one is whole.
+    for (answer, result) in [
+        // Without a length or chunks, nobody can tell whether this body is complete.
         ("HTTP/1.1 200 x\r\nX-Batches: 1\r\n\r\na\tb\tc\nd\te\tf\n", Err("Internal".to_owned())),
         (
             "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\nX-Batches: 1\r\n\r\n\
@@ -219,19 +220,19 @@
         ("HTTP/1.1 200 x\r\nContent-Length: 9\r\nX-Batches: 1\r\n\r\na\tb\tc\n", Err("Internal".to_owned())),
     ] {
         let engine = StandinServer::start(move |call| {
-            if post(call) { Response::RawThenClose(words) } else { response(500, &[], "") }
+            if post(call) { Response::RawThenClose(answer) } else { response(500, &[], "") }
         });
         let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
         client.send_job(1, "load", 20_000);
-        assert_eq!(client.receive(), (1, result), "{words}");
+        assert_eq!(client.receive(), (1, result), "{answer}");
     }
 }
 
-fn nonsense(number: usize) -> Response {
+fn malformed_answer(number: usize) -> Response {
     let row = "a\tb\tc\n";
-    let second = |behind: &str| {
+    let followed_by = |suffix: &str| {
         Response::RawKeepOpen(format!(
-            "HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n{row}{behind}"
+            "HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n{row}{suffix}"
         ))
     };
     match number {
@@ -242,7 +243,7 @@
         4 => Response::RawThenClose("SSH-2.0-none\r\n\r\n"),
         5 => response(200, &["X-Batches: 1"], "a\tb\n"),
         6 => response(200, &["X-Batches: 1"], "a\tb\tc\nd\te"),
-        7 => second("HTTP/1.1 200 x\r\n"),
+        7 => followed_by("HTTP/1.1 200 x\r\n"),
         8 => Response::RawKeepOpen(
             "HTTP/1.1 200 x\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n".to_owned(),
         ),
@@ -253,12 +254,12 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_asked_for_again_and_never_served() {
+fn a_malformed_answer_is_requested_again_and_never_served() {
     for number in 0..12 {
         let mut calls = 0;
         let engine = StandinServer::start(move |call| {
             calls += 1;
-            if calls < 4 { nonsense(number) } else { result_page(call, &["d\te\tf\n", "g\th\ti\n"]) }
+            if calls < 4 { malformed_answer(number) } else { result_page(call, &["d\te\tf\n", "g\th\ti\n"]) }
         });
         let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
         client.send_job(1, "load", 20_000);
@@ -268,10 +269,10 @@
 }
 
 #[test]
-fn nonsense_without_end_ends_a_dispatch_as_may_have_run_and_deletes_it() {
+fn persistently_malformed_answers_end_a_dispatch_as_may_have_run_and_delete_it() {
     for number in 0..10 {
         let engine = StandinServer::start(move |call| {
-            if call.line.starts_with("DELETE") { response(204, &[], "") } else { nonsense(number) }
+            if call.line.starts_with("DELETE") { response(204, &[], "") } else { malformed_answer(number) }
         });
         let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
         client.send_job(1, "load", 20_000);
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn interim_answers_come_before_the_one_that_counts() {
+fn interim_responses_are_skipped() {
     let engine = StandinServer::start(|call| match post(call) {
         true => Response::RawKeepOpen(
             "HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nX-Batches: 7\r\n\r\n\
@@ -297,7 +298,7 @@
 }
 
 #[test]
-fn noise_on_one_probe_leaves_its_engine_in_use() {
+fn a_malformed_probe_answer_leaves_its_engine_in_use() {
     let (done, mut probes) = (Arc::new(AtomicBool::new(false)), 0);
     let end = done.clone();
     let engine = StandinServer::start(move |call| {
@@ -323,7 +324,7 @@
         client.send_job(number, "load", 20_000);
         assert_eq!(client.receive(), (number, Ok("a\tb\tc\n".to_owned())));
     }
-    // Were it set aside, its query would be given up and sent again.
+    // If the engine were set aside, its query would be cancelled and sent again.
     let before = engine.calls_until("GET /load");
     let between = engine.calls_until("GET /load");
     done.store(true, Ordering::Relaxed);
@@ -333,27 +334,27 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_read_is_asked_for_again_and_the_old_one_kept() {
+fn an_unreadable_engine_list_is_requested_again_and_the_old_one_kept() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let (events, old) = (DiscoveryEvents::default(), engine.address);
-    let told = events.clone();
-    let mut asked = 0;
+    let later_events = events.clone();
+    let mut calls = 0;
     let bulletin = StandinServer::start(move |call| {
-        asked += 1;
+        calls += 1;
         let draining = |phase: &str| {
             json!({"no": 2, "items": [{"no": 2, "roster": {"members":
             [roster_member("s-0", old, "DRAINING"), roster_member("s-1", old, phase)]}}]})
         };
-        match asked {
+        match calls {
             1 => response(200, &[], "{\"no\":"),
             2 => response(200, &[], &draining("SLEEPING").to_string()),
             3 => response(503, &[], ""),
-            _ => told.answer(call),
+            _ => later_events.answer(call),
         }
     });
     let mut client = Client::connect(&RouterThread::start(&[old], bulletin.address));
-    let asked = [0; 4].map(|_| bulletin.wait_for_call("GET /bulletins?after=1&").connection);
-    assert!(asked.is_sorted_by(|a, b| a < b), "each time on a new connection: {asked:?}");
+    let connections = [0; 4].map(|_| bulletin.wait_for_call("GET /bulletins?after=1&").connection);
+    assert!(connections.is_sorted_by(|a, b| a < b), "each call on a new connection: {connections:?}");
     client.send_job(1, "load", 20_000);
     assert!(client.receive().1.is_ok());
     events.add(2, vec![]);
@@ -361,7 +362,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_back_no_other() {
+fn a_client_that_does_not_read_delays_no_other() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n".repeat(900).as_str(); 8]));
     let router = RouterThread::start_with_idle_discovery(&[engine.address]);
     let (mut idle, mut other) = (Client::connect(&router), Client::connect(&router));
@@ -382,25 +383,27 @@
 }
 
 #[test]
-fn a_fault_of_the_configuration_is_named() {
-    let whole: serde_json::Value = serde_json::from_str(&router_config(&[], nobody(), 40)).unwrap();
+fn a_configuration_error_names_its_field() {
+    let complete_config: serde_json::Value =
+        serde_json::from_str(&router_config(&[], unused_address(), 40)).unwrap();
     for field in ["listen", "seed", "limits", "bulletin"] {
-        let mut lacking = whole.clone();
-        lacking.as_object_mut().unwrap().remove(field);
-        let fault = config::parse(&lacking.to_string(), None).err().unwrap();
-        assert!(fault.contains(field), "{fault}");
+        let mut without_field = complete_config.clone();
+        without_field.as_object_mut().unwrap().remove(field);
+        let error = config::parse(&without_field.to_string(), None).err().unwrap();
+        assert!(error.contains(field), "{error}");
     }
-    let given = config::parse(&whole.to_string(), Some("127.0.0.1:7".to_owned())).ok().unwrap();
-    assert_eq!((given.listen.port(), given.seed), (7, 255));
+    let parsed = config::parse(&complete_config.to_string(), Some("127.0.0.1:7".to_owned())).ok().unwrap();
+    assert_eq!((parsed.listen.port(), parsed.seed), (7, 255));
 }
 
 #[test]
-fn a_message_is_whole_at_its_last_byte_and_nothing_else_panics() {
+fn a_message_is_complete_at_its_last_byte_and_altered_bytes_never_panic() {
     let message = Client::encode_job(70_000, "look", "9b1f03aa5c7e2d41", 3_000, &"x".repeat(300));
-    let whole = |bytes: &[u8]| codec::message_length(bytes, &mut codec::MessageScanner::default(), &mut 0);
+    let length_of =
+        |bytes: &[u8]| codec::message_length(bytes, &mut codec::MessageScanner::default(), &mut 0);
     let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     for length in 0..message.len() {
-        assert!(matches!(whole(&message[..length]), Ok(None)), "{length}");
+        assert!(matches!(length_of(&message[..length]), Ok(None)), "{length}");
         assert!(
             matches!(codec::message_length(&message[..length], &mut scan, &mut scanned), Ok(None)),
             "{length}"
@@ -409,16 +412,16 @@
     assert!(
         matches!(codec::message_length(&message, &mut scan, &mut scanned), Ok(Some(n)) if n == message.len())
     );
-    assert!(matches!(whole(&[message.as_slice(), b"next"].concat()), Ok(Some(n)) if n == message.len()));
+    assert!(matches!(length_of(&[message.as_slice(), b"next"].concat()), Ok(Some(n)) if n == message.len()));
     for (place, byte) in (0..message.len()).flat_map(|place| (0..=255).map(move |byte| (place, byte))) {
         let mut changed = message.clone();
         changed[place] = byte;
-        let _ = whole(&changed);
+        let _ = length_of(&changed);
     }
 }
 
 #[test]
-fn what_provably_never_ran_goes_elsewhere_though_it_may_run_once_only() {
+fn a_run_once_job_that_never_ran_is_sent_to_another_engine() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let mut full = true;
     let refusing = StandinServer::start(move |call| {
@@ -429,7 +432,7 @@
             response(504, &["X-Declined: 1"], call.line.get(..0).unwrap())
         }
     });
-    for other in [nobody(), refusing.address] {
+    for other in [unused_address(), refusing.address] {
         let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[other, engine.address]));
         for number in 1..9 {
             client.send_job(number, "load", 20_000);
@@ -440,7 +443,7 @@
 }
 
 #[test]
-fn a_post_cut_off_may_have_run() {
+fn a_post_whose_connection_broke_may_have_run() {
     let engine =
         StandinServer::start(
             |call| if post(call) { Response::CloseConnection } else { response(500, &[], "") },
@@ -452,7 +455,7 @@
 }
 
 #[test]
-fn a_query_outlives_its_connections() {
+fn a_query_survives_broken_connections() {
     let mut cut = 0;
     let engine = StandinServer::start(move |call| {
         cut += 1;
@@ -478,13 +481,13 @@
 }
 
 #[test]
-fn a_connection_serves_call_after_call() {
+fn a_connection_is_reused_for_later_calls() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n", "d\te\tf\n"]));
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
-    let (mut number, mut used, by) = (0, Vec::new(), Instant::now() + TEST_TIMEOUT);
-    // Between jobs it rests; so it is the first one's turn again only after some.
-    while used.iter().filter(|connection| **connection == 0).count() < 4 {
-        assert!(Instant::now() < by, "{used:?}");
+    let (mut number, mut connections_used, deadline) = (0, Vec::new(), Instant::now() + TEST_TIMEOUT);
+    // A connection rests between jobs, so the first connection is used again only after some jobs.
+    while connections_used.iter().filter(|connection| **connection == 0).count() < 4 {
+        assert!(Instant::now() < deadline, "{connections_used:?}");
         number += 1;
         client.send_job(number, "load", 20_000);
         assert!(client.receive().1.is_ok());
@@ -494,12 +497,12 @@
             post,
             "all calls of a job go over one connection"
         );
-        used.push(post);
+        connections_used.push(post);
     }
 }
 
 #[test]
-fn an_engine_heard_draining_gets_nothing_more() {
+fn a_draining_engine_gets_no_more_queries() {
     let engines = [0, 1].map(|_| StandinServer::start(|call| result_page(call, &["a\tb\tc\n"])));
     let (events, [old, new]) = (DiscoveryEvents::default(), engines.each_ref().map(|engine| engine.address));
     let bulletin = events.serve();
@@ -522,7 +525,7 @@
     });
     let (events, [old, new]) = (DiscoveryEvents::default(), engines.each_ref().map(|engine| engine.address));
     let bulletin = events.serve();
-    // Two descriptors for queries.
+    // There are two descriptors for queries.
     let mut client =
         Client::connect(&RouterThread::start_with_config(&router_config(&[old], bulletin.address, 41)));
     for number in 1..4 {
@@ -539,17 +542,17 @@
 }
 
 #[test]
-fn no_event_is_lost_when_the_bulletin_leaves_one_out() {
+fn an_event_that_the_bulletin_omits_is_requested_again() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
-    let (events, told) = (DiscoveryEvents::default(), DiscoveryEvents::default());
+    let (events, complete_events) = (DiscoveryEvents::default(), DiscoveryEvents::default());
     for number in 2..4 {
-        told.add(number, vec![roster_member(&format!("s-{number}"), engine.address, "SERVING")]);
+        complete_events.add(number, vec![roster_member(&format!("s-{number}"), engine.address, "SERVING")]);
     }
     events.add(3, vec![]);
     let mut gaps = 2;
     let bulletin = StandinServer::start(move |call| {
         gaps -= usize::from(gaps > 0);
-        if gaps > 0 { events.answer(call) } else { told.answer(call) }
+        if gaps > 0 { events.answer(call) } else { complete_events.answer(call) }
     });
     let mut client = Client::connect(&RouterThread::start(&[], bulletin.address));
     let first = bulletin.wait_for_call("GET /bulletins?after=1&");
@@ -561,34 +564,34 @@
 }
 
 #[test]
-fn a_reload_moves_to_the_new_bulletin_and_loses_no_number() {
+fn a_reload_moves_to_the_new_bulletin_at_the_same_event_number() {
     let engines = [0, 1].map(|_| StandinServer::start(|call| result_page(call, &["a\tb\tc\n"])));
     let [old, new] = engines.each_ref().map(|engine| engine.address);
-    // The first bulletin keeps its calls open and tells nothing more.
+    // The first bulletin keeps its calls open and sends nothing more.
     let (first, second) = (StandinServer::start(|_| Response::NoResponse), DiscoveryEvents::default());
     let router = RouterThread::start(&[old], first.address);
     first.wait_for_call("GET /bulletins?after=1&");
     let mut client = Client::connect(&router);
     second.add(2, vec![roster_member("s-0", old, "DRAINING"), roster_member("s-1", new, "SERVING")]);
     let bulletin = second.serve();
-    let reload = |told: &str| {
-        router.commands.send_blocking(OperatorCommand::Reload(config::parse(told, None))).unwrap()
+    let reload = |text: &str| {
+        router.commands.send_blocking(OperatorCommand::Reload(config::parse(text, None))).unwrap()
     };
     reload("{");
-    reload(&router_config(&[old], nobody(), 1024));
+    reload(&router_config(&[old], unused_address(), 1024));
     reload(&router_config(&[old], bulletin.address, 1024));
     bulletin.wait_for_call("GET /bulletins?after=1&");
     bulletin.wait_for_call("GET /bulletins?after=2&");
     client.send_job(1, "load", 20_000);
     assert!(client.receive().1.is_ok());
     engines[1].wait_for_call("POST");
-    // A stop is still heeded.
+    // The router still obeys a stop command.
     router.commands.send_blocking(OperatorCommand::Stop).unwrap();
     router.expect_clean_end();
 }
 
 #[test]
-fn told_to_stop_it_takes_and_answers_what_still_comes_and_then_ends() {
+fn a_stopping_router_serves_late_requests_and_then_ends() {
     let engine = StandinServer::start(|call| {
         match call.fields.iter().any(|field| field == "X-Trace: 0000000000000001") {
             _ if call.line.starts_with("DELETE") => response(204, &[], ""),
@@ -603,20 +606,20 @@
     client.send_job(1, "load", 60_000);
     engine.wait_for_call("POST");
     router.commands.send_blocking(OperatorCommand::Stop).unwrap();
-    // It says so to the front, and serves on.
+    // The front end learns of the stop, and the router continues to serve.
     while client.ping(9) {}
     let mut late = Client::connect(&router);
     (2..22).for_each(|number| late.send_job(number, "load", 20_000));
     let mut served: Vec<_> = (2..22).map(|_| late.receive()).collect();
     served.sort();
     assert!(served.into_iter().eq((2..22).map(|number| (number, Ok("a\tb\tc\n".to_owned())))));
-    // The first would outlive it.
+    // The first job would outlast the shutdown.
     assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     router.expect_clean_end();
 }
 
 #[test]
-fn an_idle_client_is_closed_but_none_that_awaits_an_answer() {
+fn an_idle_client_is_closed_unless_it_awaits_an_answer() {
     let done = Arc::new(AtomicBool::new(false));
     let end = done.clone();
     let engine = StandinServer::start(move |call| {
@@ -625,82 +628,84 @@
     let router = RouterThread::start_with_idle_discovery(&[engine.address]);
     let mut waiting = Client::connect(&router);
     waiting.send_job(1, "load", 60_000);
-    // One is silent, one stalls in the middle of a message, and one announces what it never sends.
-    for words in [&[][..], &[0x94, 0x00], &[0xdd, 0, 0, 0x40, 0, 0xc0]] {
+    // One client is silent, one stalls in the middle of a message, and one announces bytes that it never
+    // sends.
+    for bytes in [&[][..], &[0x94, 0x00], &[0xdd, 0, 0, 0x40, 0, 0xc0]] {
         let mut idle = Client::connect(&router);
-        idle.0.write_all(words).unwrap();
+        idle.0.write_all(bytes).unwrap();
         assert!(idle.is_closed());
     }
-    // And one sends byte after byte, without end.
+    // Another client sends byte after byte without end.
     let mut slow = Client::connect(&router);
     let mut writer = slow.0.try_clone().unwrap();
-    let dripping = std::thread::spawn(move || {
+    let slow_sender = std::thread::spawn(move || {
         writer.write_all(&[0x94, 0x00, 0x01, 0xc5, 0xff, 0xff]).unwrap();
         while writer.write_all(&[0x78]).is_ok() {
             std::thread::yield_now();
         }
     });
     assert!(slow.is_closed());
-    dripping.join().unwrap();
+    slow_sender.join().unwrap();
     done.store(true, Ordering::Relaxed);
     assert_eq!(waiting.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
-fn a_bad_client_costs_its_own_connection_only() {
+fn a_malformed_message_closes_only_its_own_connection() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let router = RouterThread::start_with_idle_discovery(&[engine.address]);
-    let mut good = Client::connect(&router);
-    for words in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xc1], &[0x94, 0x00, 0x01, 0xdf, 0xff, 0xff, 0xff, 0xff]]
+    let mut valid_client = Client::connect(&router);
+    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xc1], &[0x94, 0x00, 0x01, 0xdf, 0xff, 0xff, 0xff, 0xff]]
     {
-        let mut bad = Client::connect(&router);
-        bad.0.write_all(words).unwrap();
-        bad.0.shutdown(std::net::Shutdown::Write).unwrap();
-        assert!(bad.is_closed());
+        let mut invalid_client = Client::connect(&router);
+        invalid_client.0.write_all(bytes).unwrap();
+        invalid_client.0.shutdown(std::net::Shutdown::Write).unwrap();
+        assert!(invalid_client.is_closed());
     }
-    let sound = [("id", "00000000000000aa"), ("wait", "3000"), ("cost", "820.0"), ("ram", "96")];
+    let valid_fields = [("id", "00000000000000aa"), ("wait", "3000"), ("cost", "820.0"), ("ram", "96")];
     let with = |name: &'static str, value: &'static str| {
-        sound.map(|(known, before)| (known, if known == name { value } else { before })).to_vec()
+        valid_fields.map(|(known, before)| (known, if known == name { value } else { before })).to_vec()
     };
-    let mut unsound = vec![vec![], sound[1..].to_vec(), [&sound[..], &[("retry", "yes")]].concat()];
-    unsound.push([&sound[..], &sound[1..2]].concat());
-    unsound.extend(["", "1", "1 HTTP/1.1\r\nX: y", "00000000000000ag"].map(|id| with("id", id)));
-    unsound.extend(
+    let mut invalid_fields =
+        vec![vec![], valid_fields[1..].to_vec(), [&valid_fields[..], &[("retry", "yes")]].concat()];
+    invalid_fields.push([&valid_fields[..], &valid_fields[1..2]].concat());
+    invalid_fields.extend(["", "1", "1 HTTP/1.1\r\nX: y", "00000000000000ag"].map(|id| with("id", id)));
+    invalid_fields.extend(
         ["-1", "1e3", "inf", "NaN", "soon", "", "1.5", "60001", "9".repeat(30).leak()]
             .map(|w| with("wait", w)),
     );
-    unsound
+    invalid_fields
         .extend(["-1", "1e300", "nan", "", "480001", "9".repeat(400).leak()].map(|cost| with("cost", cost)));
-    unsound.extend(["-1", "1e300", "nan", "", "1001"].map(|ram| with("ram", ram)));
+    invalid_fields.extend(["-1", "1e300", "nan", "", "1001"].map(|ram| with("ram", ram)));
     let mut number = 0;
-    let mut next = || {
+    let mut next_number = || {
         number += 1;
         number
     };
-    for fields in unsound {
-        let number = next();
-        good.0.write_all(&Client::encode_request(number, "look", &fields, "select 1")).unwrap();
-        assert_eq!(good.receive(), (number, Err("Malformed".to_owned())), "{fields:?}");
+    for fields in invalid_fields {
+        let number = next_number();
+        valid_client.0.write_all(&Client::encode_request(number, "look", &fields, "select 1")).unwrap();
+        assert_eq!(valid_client.receive(), (number, Err("Malformed".to_owned())), "{fields:?}");
     }
     for (class, statement) in [("nothing", "select 1"), ("look", " ")] {
-        let number = next();
-        good.0.write_all(&Client::encode_request(number, class, &sound, statement)).unwrap();
-        assert_eq!(good.receive(), (number, Err("Malformed".to_owned())));
+        let number = next_number();
+        valid_client.0.write_all(&Client::encode_request(number, class, &valid_fields, statement)).unwrap();
+        assert_eq!(valid_client.receive(), (number, Err("Malformed".to_owned())));
     }
-    // One too deep for a client's fields.
-    let (number, deep) = (next(), [&b"\xa4look"[..], &[0x92], &[0x91; 2_000], &[0xc0, 0xc0]].concat());
-    good.0.write_all(&[&[0x94, 0x00, number as u8], &deep[..]].concat()).unwrap();
-    assert_eq!(good.receive(), (number, Err("Malformed".to_owned())));
-    good.send_job(99, "look", 20_000);
-    assert_eq!(good.receive(), (99, Ok("a\tb\tc\n".to_owned())));
+    // One request whose fields are nested too deeply.
+    let (number, deep) = (next_number(), [&b"\xa4look"[..], &[0x92], &[0x91; 2_000], &[0xc0, 0xc0]].concat());
+    valid_client.0.write_all(&[&[0x94, 0x00, number as u8], &deep[..]].concat()).unwrap();
+    assert_eq!(valid_client.receive(), (number, Err("Malformed".to_owned())));
+    valid_client.send_job(99, "look", 20_000);
+    assert_eq!(valid_client.receive(), (99, Ok("a\tb\tc\n".to_owned())));
     assert_eq!(engine.received_calls("POST").len(), 1);
 }
 
 #[test]
-fn a_message_too_long_is_answered_and_costs_its_connection_before_it_has_come() {
+fn a_message_announced_too_long_is_rejected_and_its_connection_closed() {
     let router = RouterThread::start_with_idle_discovery(&[]);
     let mut client = Client::connect(&router);
-    // 60 MB are announced and never come.
+    // The message announces 60 MB that never arrive.
     let message = Client::encode_job(1, "look", "00000000000000aa", 3_000, "");
     let announced = [&message[..message.len() - 2], &[0xc6, 0x03, 0x93, 0x87, 0x00]].concat();
     client.0.write_all(&announced).unwrap();
@@ -709,7 +714,7 @@
 }
 
 #[test]
-fn two_requests_under_one_number_cost_the_connection_and_are_never_served() {
+fn two_requests_with_one_number_close_the_connection() {
     let engine = StandinServer::start(|call| response(if post(call) { 202 } else { 204 }, &[], ""));
     let router = RouterThread::start_with_idle_discovery(&[engine.address]);
     let mut client = Client::connect(&router);
@@ -721,7 +726,7 @@
 }
 
 #[test]
-fn what_is_too_much_for_a_connection_is_turned_away_at_once() {
+fn requests_beyond_the_limit_of_a_connection_are_rejected_at_once() {
     let engine = StandinServer::start(|call| {
         response(if call.line.starts_with("DELETE") { 204 } else { 202 }, &[], "")
     });
@@ -735,10 +740,10 @@
 }
 
 #[test]
-fn at_the_limit_the_longest_quiet_connection_makes_room() {
+fn at_the_connection_limit_the_longest_idle_one_is_closed() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     let bulletin = DiscoveryEvents::default().serve();
-    // Thirteen descriptors for clients.
+    // There are thirteen descriptors for clients.
     let router = RouterThread::start_with_config(&router_config(&[engine.address], bulletin.address, 41));
     let mut clients: Vec<_> = (0..13).map(|_| Client::connect(&router)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -757,7 +762,7 @@
 }
 
 #[test]
-fn the_table_group_is_the_number_of_the_schema() {
+fn the_table_group_is_the_schema_number() {
     for (statement, group) in [
         ("SELECT id, n, note -- was: from mart_1.old\n FROM sales_0.lines LIMIT 500", Some(0)),
         (
@@ -788,33 +793,34 @@
 }
 
 #[test]
-fn a_task_that_panics_ends_alone() {
+fn a_panicking_task_ends_no_other_task() {
     let tasks = Tasks::default();
-    let (told, heard) = async_channel::bounded(1);
-    tasks.spawn(async { panic!("as told") });
-    tasks.spawn(async move { told.send(7).await.unwrap() });
-    assert_eq!(block_on(tasks.run(heard.recv())), Ok(7));
+    let (sender, receiver) = async_channel::bounded(1);
+    tasks.spawn(async { panic!("intended by the test") });
+    tasks.spawn(async move { sender.send(7).await.unwrap() });
+    assert_eq!(block_on(tasks.run(receiver.recv())), Ok(7));
 }
 
 #[test]
-fn room_for_bytes_is_waited_for_and_given_back() {
+fn memory_is_waited_for_and_released() {
     block_on(async {
-        // Half of 1,600 is common, of which one connection gets half; 80 are each one's own.
-        let room = MemoryBudget::new(1_600, 10);
+        // Half of the 1,600 bytes is shared, of which one connection may hold half; 80 bytes are reserved for
+        // each connection.
+        let budget = MemoryBudget::new(1_600, 10);
         let holder = |connection| Holder { connection, address: [127, 0, 0, 1].into() };
-        let held = room.acquire(holder(1), 400).await;
-        let mut second = std::pin::pin!(room.acquire(holder(1), 300));
+        let first = budget.acquire(holder(1), 400).await;
+        let mut second = std::pin::pin!(budget.acquire(holder(1), 300));
         assert!(poll_once(second.as_mut()).await.is_none());
-        // Others find their floors, and what is still common, meanwhile.
-        let others: Vec<_> = (2..=10).map(|other| room.try_acquire(holder(other), 80)).collect();
+        // Meanwhile other connections get their reserved bytes and the rest of the shared part.
+        let others: Vec<_> = (2..=10).map(|other| budget.try_acquire(holder(other), 80)).collect();
         assert!(others.iter().all(Option::is_some));
-        drop(held);
+        drop(first);
         assert!(poll_once(second.as_mut()).await.is_some());
     });
 }
 
 #[test]
-fn clients_hold_a_third_of_the_descriptors_at_most_and_errands_have_their_own() {
+fn clients_hold_at_most_a_third_of_the_descriptors_and_control_calls_have_their_own() {
     let parts = DescriptorBudget::split(1024);
     let count = |part: &Arc<async_lock::Semaphore>| {
         std::iter::from_fn(|| part.try_acquire_arc()).take(2000).collect::<Vec<_>>().len()
