--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program over stand-in engines and bulletins, and faults among them. Every verdict rests on
-//! counts over all processes together, and on what never happens or happens in the end.
+//! Router processes against stand-in engines and bulletins, with faults among them. Each verdict rests on
+//! counts over all processes together, on what never happens, and on what happens in the end.
 
 use std::fs;
 use std::path::PathBuf;
@@ -16,17 +16,17 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woadhook");
 
-fn folder(story: &str) -> PathBuf {
-    folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("fleet-{story}"))
+fn folder(scenario: &str) -> PathBuf {
+    folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("fleet-{scenario}"))
 }
 
-/// Plays a schedule before ten routers and ten engines; its seed and faults are told if a rule breaks.
-fn play(story: &str, schedule: &Schedule) -> Tally {
-    play_at(story, Layout::single_zone(10, 10), schedule)
+/// Runs a schedule against ten routers and ten engines; prints its seed and faults if a rule is broken.
+fn run(scenario: &str, schedule: &Schedule) -> Tally {
+    run_with(scenario, Layout::single_zone(10, 10), schedule)
 }
 
-fn play_at(story: &str, layout: Layout, schedule: &Schedule) -> Tally {
-    let fleet = Fleet::start(PROGRAM, &folder(story), layout);
+fn run_with(scenario: &str, layout: Layout, schedule: &Schedule) -> Tally {
+    let fleet = Fleet::start(PROGRAM, &folder(scenario), layout);
     fleet.run_schedule(schedule);
     fleet.wait_for_drains();
     let tally = fleet.verdict().unwrap_or_else(|fault| panic!("{fault}\nafter {schedule:?}"));
@@ -35,50 +35,51 @@
 }
 
 #[test]
-fn all_faults_of_a_schedule_one_after_another_break_no_rule() {
+fn all_faults_of_a_schedule_in_sequence_break_no_rule() {
     for seed in [1, 2] {
-        let tally = play(&format!("seed-{seed}"), &Schedule::draw(seed, 10, 10));
-        assert!(tally.to_cold > 0, "cold engines are used: {tally:?}");
+        let tally = run(&format!("seed-{seed}"), &Schedule::draw(seed, 10, 10));
+        assert!(tally.to_cold > 0, "cold engines got jobs: {tally:?}");
     }
 }
 
 #[test]
-fn a_herd_that_starts_from_nothing_beside_new_engines_pushes_none_over() {
+fn many_restarted_routers_do_not_overload_new_engines() {
     let faults = vec![(Fault::Replace(vec![0, 1, 2, 3, 4, 5]), 50), (Fault::Kill((0..7).collect()), 2_500)];
-    let again = vec![(Fault::Kill((3..10).collect()), 1_000)];
-    let tally = play("herd", &Schedule { seed: 0, faults: [faults, again].concat() });
+    let second_kill = vec![(Fault::Kill((3..10).collect()), 1_000)];
+    let tally = run("herd", &Schedule { seed: 0, faults: [faults, second_kill].concat() });
     assert!(tally.to_cold > 0, "{tally:?}");
 }
 
 #[test]
-fn thirty_routers_of_which_most_restart_keep_a_cold_engine_to_its_ramp() {
+fn thirty_routers_of_which_most_restart_keep_the_ramp_of_cold_engines() {
     let faults = vec![
         (Fault::Replace(vec![0, 1, 2]), 2_500),
         (Fault::Kill((0..20).collect()), 2_500),
         (Fault::Kill((10..30).collect()), 2_500),
     ];
-    let tally = play_at("thirty", Layout::single_zone(30, 4), &Schedule { seed: 0, faults });
-    assert!(tally.to_cold > 50, "cold engines are used: {tally:?}");
+    let tally = run_with("thirty", Layout::single_zone(30, 4), &Schedule { seed: 0, faults });
+    assert!(tally.to_cold > 50, "cold engines got jobs: {tally:?}");
 }
 
-/// Guards against a verdict that can't tell a rest of the rig from one of the router: the rig's is told beside the broken rule.
+/// Guards against a verdict that can't tell a stall of the test rig from one of the router: the rig's stall
+/// is printed beside the broken rule.
 #[test]
-fn a_deadline_that_the_relays_held_up_is_told_with_their_rest() {
-    /// Longer than what the judge allows for the machine and the deadline's slack.
-    const STOOD: Duration = Duration::from_millis(1_200);
+fn a_deadline_missed_because_of_stalled_relays_is_reported_with_the_stall() {
+    /// Longer than the checker allows for the machine and the deadline's slack.
+    const STALL: Duration = Duration::from_millis(1_200);
     let fleet = Fleet::start(PROGRAM, &folder("stood"), Layout::single_zone(2, 2));
-    // Again and again, as callers whose jobs run for long send none meanwhile.
+    // Repeated, as callers whose jobs run for long send none meanwhile.
     for _ in 0..4 {
         thread::sleep(Duration::from_millis(250));
-        fleet.relays.block_thread(STOOD);
-        thread::sleep(STOOD);
+        fleet.relays.block_thread(STALL);
+        thread::sleep(STALL);
     }
-    let fault = fleet.verdict().expect_err("its requests were held up");
+    let fault = fleet.verdict().expect_err("the requests were delayed");
     assert!(fault.contains("its client had") && fault.contains("the relays stood: [Rest"), "{fault}");
 }
 
 #[test]
-fn engines_replaced_while_routers_restart_and_the_bulletin_moves_get_nothing_after_the_grace() {
+fn replaced_engines_get_nothing_after_the_grace_while_routers_restart_and_the_bulletin_moves() {
     let faults = vec![
         (Fault::Move, 300),
         (Fault::Replace(vec![0, 1, 2]), 0),
@@ -87,53 +88,55 @@
         (Fault::Move, 0),
         (Fault::Pause(0, 800), 0),
     ];
-    play("roll", &Schedule { seed: 0, faults });
+    run("roll", &Schedule { seed: 0, faults });
 }
 
-/// Less than the grace and than a caller's wait, so that what a cut holds up still comes within both.
-const CUT: u64 = 1_200;
+/// In milliseconds. Less than the grace period and than a caller's wait, so that requests that a partition
+/// delays still arrive within both.
+const CUT_MS: u64 = 1_200;
 
 #[test]
-fn a_zone_cut_off_on_both_sides_goes_on_serving_and_answers_all_it_took() {
+fn a_partitioned_zone_continues_to_serve_and_answers_all_accepted_jobs() {
     let (one, rest) = (EndpointSet::zone("z1"), EndpointSet::All);
     let within = (one.clone(), one.clone(), Way::default());
     let cut = vec![(one.clone(), rest.clone(), Way::CUT), (rest, one, Way::CUT), within];
-    let faults = vec![(Fault::Lay(cut.clone(), CUT), 300), (Fault::Lay(cut, CUT / 2), 0)];
-    play_at("zone", Layout::with_zones(9, 9, 3, 1), &Schedule { seed: 0, faults });
+    let faults = vec![(Fault::Lay(cut.clone(), CUT_MS), 300), (Fault::Lay(cut, CUT_MS / 2), 0)];
+    run_with("zone", Layout::with_zones(9, 9, 3, 1), &Schedule { seed: 0, faults });
 }
 
 #[test]
-fn a_way_that_is_cut_one_way_only_runs_no_load_twice() {
+fn a_partition_in_one_direction_runs_no_load_twice() {
     let (one, other) = (EndpointSet::zone("z0"), EndpointSet::zone("z1"));
-    let back = vec![(other.clone(), one.clone(), Way::CUT)];
-    let there = vec![(one.clone(), other.clone(), Way::CUT)];
-    // A load goes over, and nothing is heard of it for longer than a router asks: it may have run. The cut is shorter than
-    // the grace and than a caller's wait, so that there is time to do it wrong.
+    let backward = vec![(other.clone(), one.clone(), Way::CUT)];
+    let forward = vec![(one.clone(), other.clone(), Way::CUT)];
+    // A load crosses to the other zone, and the router receives nothing about it for longer than it polls: it
+    // may have run. The partition is shorter than the grace period and than a caller's wait, so that there is
+    // time to run it twice.
     let faults = vec![
-        (Fault::Lay(back.clone(), 2_800), 200),
-        (Fault::Lay(there, CUT), 200),
+        (Fault::Lay(backward.clone(), 2_800), 200),
+        (Fault::Lay(forward, CUT_MS), 200),
         (Fault::Reset(one, other), 0),
-        (Fault::Lay(back, 2_800), 0),
+        (Fault::Lay(backward, 2_800), 0),
     ];
-    play_at("one-way", Layout::with_zones(8, 8, 2, 2), &Schedule { seed: 0, faults });
+    run_with("one-way", Layout::with_zones(8, 8, 2, 2), &Schedule { seed: 0, faults });
 }
 
 #[test]
-fn ways_between_zones_that_fail_by_a_schedule_from_a_seed_break_no_rule() {
+fn seeded_network_faults_between_zones_break_no_rule() {
     for seed in [11, 12] {
         let layout = Layout::with_zones(9, 9, 3, seed);
-        let schedule = Schedule::draw_network_faults(seed, 6, &layout.zone_names(), 9, CUT);
-        play_at(&format!("ways-{seed}"), layout, &schedule);
+        let schedule = Schedule::draw_network_faults(seed, 6, &layout.zone_names(), 9, CUT_MS);
+        run_with(&format!("ways-{seed}"), layout, &schedule);
     }
 }
 
 /// A search over seeds, outside CI: `WAYS=100..140 cargo test --test fleet -- --ignored search`.
 #[test]
-#[ignore = "takes minutes; found seeds become stories"]
-fn search_for_a_schedule_of_ways_that_breaks_a_rule() {
-    let told = std::env::var("WAYS").unwrap_or_else(|_| "100..104".to_owned());
-    let (from, to) = told.split_once("..").expect("FROM..TO");
-    let breaks = |schedule: &Schedule| {
+#[ignore = "takes minutes; seeds that it finds become scenarios"]
+fn search_for_a_network_fault_schedule_that_breaks_a_rule() {
+    let seeds = std::env::var("WAYS").unwrap_or_else(|_| "100..104".to_owned());
+    let (from, to) = seeds.split_once("..").expect("FROM..TO");
+    let broken_rule = |schedule: &Schedule| {
         let layout = Layout::with_zones(9, 9, 3, schedule.seed);
         let fleet = Fleet::start(PROGRAM, &folder("search"), layout);
         fleet.run_schedule(schedule);
@@ -142,55 +145,57 @@
     };
     for seed in from.parse::<u64>().unwrap()..to.parse().unwrap() {
         let zones = Layout::with_zones(9, 9, 3, seed).zone_names();
-        let schedule = Schedule::draw_network_faults(seed, 8, &zones, 9, CUT);
-        if let Some(fault) = breaks(&schedule) {
-            let least = shrink(&schedule, |fewer| breaks(fewer).is_some());
-            panic!("seed {seed}: {fault}\nleft of it: {least:?}");
+        let schedule = Schedule::draw_network_faults(seed, 8, &zones, 9, CUT_MS);
+        if let Some(fault) = broken_rule(&schedule) {
+            let smallest = shrink(&schedule, |smaller| broken_rule(smaller).is_some());
+            panic!("seed {seed}: {fault}\nsmallest failing schedule: {smallest:?}");
         }
     }
 }
 
 #[test]
 fn the_same_seed_draws_the_same_schedule() {
-    let drawn = |seed| format!("{:?}", Schedule::draw(seed, 300, 80));
-    assert_eq!(drawn(7), drawn(7));
-    assert_ne!(drawn(7), drawn(8));
+    let draw = |seed| format!("{:?}", Schedule::draw(seed, 300, 80));
+    assert_eq!(draw(7), draw(7));
+    assert_ne!(draw(7), draw(8));
 }
 
 #[test]
 fn a_schedule_shrinks_to_the_faults_that_matter() {
-    let whole = Schedule::draw(3, 10, 10);
-    let matters = |schedule: &Schedule| {
-        let has = |sought: &dyn Fn(&Fault) -> bool| schedule.faults.iter().any(|(fault, _)| sought(fault));
-        has(&|fault| matches!(fault, Fault::Kill(_))) && has(&|fault| matches!(fault, Fault::Bad(_)))
+    let full_schedule = Schedule::draw(3, 10, 10);
+    let is_relevant = |schedule: &Schedule| {
+        let contains =
+            |sought: &dyn Fn(&Fault) -> bool| schedule.faults.iter().any(|(fault, _)| sought(fault));
+        contains(&|fault| matches!(fault, Fault::Kill(_)))
+            && contains(&|fault| matches!(fault, Fault::Bad(_)))
     };
-    assert_eq!(shrink(&whole, matters).faults.len(), 2);
+    assert_eq!(shrink(&full_schedule, is_relevant).faults.len(), 2);
 }
 
-/// The lines of `deploy/balancer.toml` for a key.
-fn deployed(key: &str) -> String {
+/// The value of a key in `deploy/balancer.toml`.
+fn deployed_value(key: &str) -> String {
     let file = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = fs::read_to_string(file).unwrap();
     let line = text.lines().find_map(|line| line.strip_prefix(key)?.trim().strip_prefix("= "));
-    line.unwrap_or_else(|| panic!("{key} in the deploy file")).trim_matches('"').to_owned()
+    line.unwrap_or_else(|| panic!("the deploy file lacks {key}")).trim_matches('"').to_owned()
 }
 
 #[test]
 fn the_deployed_program_is_one_process_linked_to_the_c_library() {
-    let run = deployed("run ");
+    let run = deployed_value("run ");
     assert_eq!(run.split_whitespace().collect::<Vec<_>>(), ["exec", "target/release/woadhook"]);
     let listed = Command::new("ldd").arg(PROGRAM).stdin(Stdio::null()).output().unwrap();
     let listed = String::from_utf8_lossy(&listed.stdout).into_owned();
     assert!(listed.contains("libc.so"), "not linked dynamically: {listed}");
     let process =
-        RouterProcess::start(PROGRAM, &folder("alone"), "n0", &router_config(&[], feed().address, 512));
+        RouterProcess::start(PROGRAM, &folder("alone"), "n0", &router_config(&[], discovery().address, 512));
     process.wait_until_ready();
     let id = process.id().unwrap();
-    let until = Instant::now() + Duration::from_millis(300);
-    while Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_millis(300);
+    while Instant::now() < deadline {
         for task in fs::read_dir(format!("/proc/{id}/task")).unwrap().flatten() {
             let children = fs::read_to_string(task.path().join("children")).unwrap_or_default();
-            assert!(children.trim().is_empty(), "it started {children}");
+            assert!(children.trim().is_empty(), "the program started {children}");
         }
         thread::sleep(Duration::from_millis(5));
     }
@@ -203,10 +208,10 @@
             let fields: Vec<&str> = line.split_whitespace().collect();
             fields.get(6) == socket.as_ref() && fields.len() > 7
         };
-        assert!(socket.is_none() || !unix.lines().any(listens), "a named Unix socket");
+        assert!(socket.is_none() || !unix.lines().any(listens), "the program listens on a named Unix socket");
     }
 }
 
-fn feed() -> woadhook_standins::StandinServer {
+fn discovery() -> woadhook_standins::StandinServer {
     DiscoveryEvents::default().serve()
 }
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Routers that talk, on loopback, and a hostile peer beside them.
+//! Routers that exchange gossip on loopback, with a hostile peer beside them.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -18,7 +18,7 @@
 };
 use woadhook_standins::*;
 
-const NOBODY: MemberId = MemberId(0);
+const NO_MEMBER: MemberId = MemberId(0);
 
 fn now() -> Moment {
     Moment::from_micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64)
@@ -28,7 +28,7 @@
     Moment::from_micros(now().since(Moment::default()).saturating_sub(Span::from_secs(span)).micros())
 }
 
-/// A member's key with a pass that is good now.
+/// A member's key with a pass that is valid now.
 fn member(number: u64, name: &str, by: &SecretKey) -> Identity {
     let secret = secret_key(number);
     let pass =
@@ -37,8 +37,10 @@
     Identity::new(secret, pass, &TrustStore::new(cluster_id(), vec![by.public()]), now()).unwrap()
 }
 
-/// A router that talks, with key 1, and where it listens.
-fn talking(engines: &[SocketAddr], seeds: Vec<SocketAddr>, number: u64) -> (RouterThread, SocketAddr) {
+/// A router with gossip, and the address at which it listens.
+fn start_with_gossip(
+    engines: &[SocketAddr], seeds: Vec<SocketAddr>, number: u64,
+) -> (RouterThread, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let keys = Keys {
@@ -47,7 +49,7 @@
         order: None,
     };
     let pace = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..default_gossip_config() };
-    let talk = GossipSetup {
+    let setup = GossipSetup {
         socket,
         keys,
         advertised_address: address,
@@ -55,11 +57,11 @@
         pace,
         accord: default_accord_config(),
     };
-    let told = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
-    (RouterThread::start_with_gossip(&told, Some(talk)), address)
+    let config = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
+    (RouterThread::start_with_gossip(&config, Some(setup)), address)
 }
 
-/// A peer that says what it likes.
+/// A peer that sends whatever the test wants.
 struct Peer {
     socket: UdpSocket,
     own: Identity,
@@ -75,10 +77,11 @@
         Self { socket, own, incarnation, number: 0 }
     }
 
-    fn says(&mut self, to: SocketAddr, sent: Moment, engine: &str, spoilt: bool) {
+    fn send_observation(&mut self, to: SocketAddr, sent: Moment, engine: &str, corrupt: bool) {
         self.number += 1;
-        let card = MemberRecord::issue(&self.own, self.socket.local_addr().unwrap(), self.incarnation, false);
-        let word = Observation::issue(
+        let record =
+            MemberRecord::issue(&self.own, self.socket.local_addr().unwrap(), self.incarnation, false);
+        let observation = Observation::issue(
             &self.own,
             self.incarnation,
             self.number,
@@ -89,29 +92,29 @@
             None,
             255,
         );
-        let statements = [(ItemTag::Observation, word.to_bytes().into())];
+        let items = [(ItemTag::Observation, observation.to_bytes().into())];
         let (mut bytes, _) = encode_signed(
             &self.own,
             DatagramKind::Ping,
-            NOBODY,
+            NO_MEMBER,
             sent,
             self.number,
             0,
-            NOBODY,
+            NO_MEMBER,
             (1, 0),
-            &card.bytes,
-            &statements,
+            &record.bytes,
+            &items,
             PADDED_PING_BYTES,
         );
-        if spoilt {
+        if corrupt {
             let last = bytes.len() - 1;
             bytes[last] ^= 1;
         }
         self.socket.send_to(&bytes, to).unwrap();
     }
 
-    /// The statements of the next datagram that comes.
-    fn hears(&self) -> Vec<Item> {
+    /// The items of the next datagram.
+    fn receive_items(&self) -> Vec<Item> {
         let mut bytes = [0; 1500];
         let (length, _) = self.socket.recv_from(&mut bytes).unwrap();
         Envelope::read(&bytes[..length]).unwrap().items().collect()
@@ -119,65 +122,70 @@
 }
 
 #[test]
-fn a_forged_engine_dead_brings_no_probe_and_a_members_word_does() {
+fn a_forged_observation_causes_no_probe_and_a_members_observation_does() {
     let engines = [0, 1].map(|_| StandinServer::start(|call| result_page(call, &["a\tb\tc\n"])));
-    let (router, at) = talking(&engines.each_ref().map(|engine| engine.address), vec![], 1);
+    let (router, address) = start_with_gossip(&engines.each_ref().map(|engine| engine.address), vec![], 1);
     assert!(Client::connect(&router).ping(1));
     let mut stranger = Peer::new(member(3, "n3", &secret_key(99)));
-    stranger.says(at, now(), "s-0", false);
-    let mut honest = Peer::new(member(2, "n2", &operator_key()));
-    honest.says(at, before(86_400.0), "s-0", false);
-    honest.says(at, now(), "s-0", true);
-    honest.socket.send_to(b"engine s-0 is dead", at).unwrap();
-    // What is good comes last, over the same socket: when it has worked, the others have been looked at.
-    honest.says(at, now(), "s-1", false);
+    stranger.send_observation(address, now(), "s-0", false);
+    let mut member_peer = Peer::new(member(2, "n2", &operator_key()));
+    member_peer.send_observation(address, before(86_400.0), "s-0", false);
+    member_peer.send_observation(address, now(), "s-0", true);
+    member_peer.socket.send_to(b"engine s-0 is dead", address).unwrap();
+    // The valid datagram comes last, over the same socket: once it has had its effect, the others have been
+    // processed.
+    member_peer.send_observation(address, now(), "s-1", false);
     engines[1].wait_for_call("GET /load ");
     assert!(engines[0].received_calls("GET /load ").is_empty());
-    // The job goes on as ever.
+    // Jobs are still served.
     let mut client = Client::connect(&router);
     client.send_job(1, "look", 20_000);
     assert_eq!(client.receive(), (1, Ok("a\tb\tc\n".to_owned())));
 }
 
 #[test]
-fn what_one_router_suffers_the_other_hears_and_probes() {
+fn a_failure_at_one_router_is_reported_to_another_that_probes() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
-    // Nobody listens there: a job's dispatch fails to connect.
+    // Nothing listens there: a job's dispatch fails to connect.
     let dead = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (first, at) = talking(&[dead], vec![], 1);
-    let (second, _) = talking(&[engine.address], vec![at], 2);
+    let (first, address) = start_with_gossip(&[dead], vec![], 1);
+    let (second, _) = start_with_gossip(&[engine.address], vec![address], 2);
     assert!(Client::connect(&second).ping(1));
-    // Both know "s-0", each at an address of its own. What is told before they have met is told again.
+    // Both routers know "s-0", each at another address. An observation that is sent before they have met is
+    // sent again.
     let mut client = Client::connect(&first);
     client.send_job(1, "look", 2_000);
     engine.wait_for_call("GET /load ");
 }
 
 #[test]
-fn a_revocation_that_is_read_again_puts_a_member_out_at_others_too() {
+fn a_reloaded_revocation_removes_a_member_at_other_routers_too() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
-    let (router, at) = talking(&[engine.address], vec![], 1);
+    let (router, address) = start_with_gossip(&[engine.address], vec![], 1);
     assert!(Client::connect(&router).ping(1));
-    let mut honest = Peer::new(member(2, "n2", &operator_key()));
-    let mut list = trust_store();
-    assert!(list.revoke(&revocation(7), now()));
-    let keys = Keys { identity: member(1, "n1", &operator_key()), ring: list, order: None };
+    let mut member_peer = Peer::new(member(2, "n2", &operator_key()));
+    let mut store = trust_store();
+    assert!(store.revoke(&revocation(7), now()));
+    let keys = Keys { identity: member(1, "n1", &operator_key()), ring: store, order: None };
     router.commands.send_blocking(OperatorCommand::ReloadKeys(Ok(Box::new(keys)))).unwrap();
-    // A fault leaves what is in force.
+    // An error leaves the keys in force.
     router.commands.send_blocking(OperatorCommand::ReloadKeys(Err("site.jsonnet: bad".to_owned()))).unwrap();
     let mut revoked = false;
     for _ in 0..20 {
-        honest.says(at, now(), "s-0", false);
-        revoked |= honest.hears().iter().any(|told| matches!(told, Item::Revocation(_)));
+        member_peer.send_observation(address, now(), "s-0", false);
+        revoked |= member_peer.receive_items().iter().any(|item| matches!(item, Item::Revocation(_)));
         if revoked {
             break;
         }
     }
-    assert!(revoked, "it is told on");
-    let mut out = Peer::new(member(7, "n7", &operator_key()));
+    assert!(revoked, "the revocation is passed on");
+    let mut revoked_peer = Peer::new(member(7, "n7", &operator_key()));
     engine.received_calls("GET");
-    out.says(at, now(), "s-0", false);
+    revoked_peer.send_observation(address, now(), "s-0", false);
     router.commands.send_blocking(OperatorCommand::Stop).unwrap();
     router.expect_clean_end();
-    assert!(engine.received_calls("GET /load ").len() <= 1, "only the honest member's word brought a probe");
+    assert!(
+        engine.received_calls("GET /load ").len() <= 1,
+        "only the honest member's observation caused a probe"
+    );
 }
