--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -38,7 +38,7 @@
     Duration::from_millis(field.parse().unwrap())
 }
 
-/// Checks the time left of a request that was written at least `passed` before it was sent on.
+/// Checks the time left of a request that was written at least `elapsed` before it was sent on.
 fn assert_time_left(left: Duration, elapsed: Duration, case: &str) {
     let limit = Duration::from_millis(WAIT_MS.into()).saturating_sub(elapsed) + SLACK;
     assert!(
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -37,7 +37,7 @@
     Identity::new(secret, pass, &TrustStore::new(cluster_id(), vec![by.public()]), now()).unwrap()
 }
 
-/// A router with gossip, and the address at which it listens.
+/// A router with gossip and the key of that number, and the address at which it listens.
 fn start_with_gossip(
     engines: &[SocketAddr], seeds: Vec<SocketAddr>, number: u64,
 ) -> (RouterThread, SocketAddr) {
--- a/crates/router/tests/stands_and_steps.rs
+++ b/crates/router/tests/stands_and_steps.rs
@@ -1,4 +1,5 @@
-//! Rules of `docs/PROMISES.md` under a suspended process, a wall clock that steps, and a shutdown.
+//! Rules under a suspended process, a wall clock that steps, and a shutdown. `docs/PROMISES.md` listed them
+//! as open until these tests forced the cases.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
