--- a/crates/standins/examples/scale/arguments.rs
+++ b/crates/standins/examples/scale/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line: the axis, its points, and the programs that are measured.
+//! The command line: the axis, its sizes, and the programs to measure.
 
 use std::path::PathBuf;
 
@@ -6,23 +6,23 @@
 
 use crate::limits::{self, Machine};
 
-const PROGRAM: &str = "target/release/woadhook";
-const FOLDER: &str = "docs/capacity";
+const DEFAULT_PROGRAM: &str = "target/release/woadhook";
+const DEFAULT_OUTPUT_FOLDER: &str = "docs/capacity";
 
-/// What grows from point to point.
+/// The quantity that grows from point to point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum Axis {
-    /// Engines that are listed
+    /// Listed engines
     Engines,
-    /// Client connections at rest, at 80 engines
+    /// Idle client connections, at 80 engines
     Clients,
     /// Jobs a second, at 80 engines
     Jobs,
-    /// Changes of the list a second, at 600 engines
+    /// Changes of the engine list a second, at 600 engines
     Events,
-    /// Real routers that share 600 engines; hollow ones make up 1,800 with them
+    /// Real routers that share 600 engines; simulated routers bring the total to 1,800
     Routers,
-    /// Members that gossip, on the virtual network
+    /// Gossip members, on the virtual network
     Members,
 }
 
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The usual points.
-    pub fn sizes(self) -> &'static [usize] {
+    /// The sizes that are measured unless `--sizes` names others.
+    pub fn default_sizes(self) -> &'static [usize] {
         match self {
             Axis::Engines => &[2, 80, 600, 2_400],
             Axis::Clients => &[0, 1_500, 3_000, 6_100],
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The least and most that a point may be on any machine.
-    pub fn range(self) -> (usize, usize) {
+    /// The minimum and maximum size on any machine.
+    pub fn allowed_range(self) -> (usize, usize) {
         match self {
             Axis::Engines => (1, 8_000),
             Axis::Clients => (0, 20_000),
@@ -67,33 +67,34 @@
 #[derive(Debug, Parser)]
 #[command(name = "scale")]
 pub struct Arguments {
-    /// What grows
+    /// The quantity that grows
     #[arg(value_enum)]
     pub axis: Axis,
-    /// The axis's points, in place of the usual ones
+    /// The sizes to measure, in place of the default ones
     #[arg(long, value_delimiter = ',', value_name = "SIZE,SIZE,...")]
     pub sizes: Vec<usize>,
-    /// For all that is drawn by chance
+    /// Seed of all random draws
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How often each point is measured; the medians count
+    /// How often each point is measured; the output holds the medians
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=5))]
     pub rounds: u32,
-    /// The built program; several are measured in turns
-    #[arg(long = "program", value_name = "PATH", default_value = PROGRAM)]
+    /// The built program; several programs are measured in turns
+    #[arg(long = "program", value_name = "PATH", default_value = DEFAULT_PROGRAM)]
     pub programs: Vec<PathBuf>,
-    /// Where the output goes
-    #[arg(long, value_name = "DIR", default_value = FOLDER)]
+    /// The folder of the output
+    #[arg(long, value_name = "DIR", default_value = DEFAULT_OUTPUT_FOLDER)]
     pub out: PathBuf,
-    /// A folder below DIR for each program, in their order
+    /// The name of a folder below DIR for each program, in the same order
     #[arg(long = "label", value_name = "NAME")]
     pub labels: Vec<String>,
 }
 
 impl Arguments {
-    /// The axis's points, each at most what is allowed here; the error says what is.
-    pub fn points(&self, machine: &Machine) -> Result<Vec<usize>, String> {
-        let mut sizes = if self.sizes.is_empty() { self.axis.sizes().to_vec() } else { self.sizes.clone() };
+    /// The sizes in ascending order, each once. The error names the sizes that this machine allows.
+    pub fn checked_sizes(&self, machine: &Machine) -> Result<Vec<usize>, String> {
+        let mut sizes =
+            if self.sizes.is_empty() { self.axis.default_sizes().to_vec() } else { self.sizes.clone() };
         sizes.sort_unstable();
         sizes.dedup();
         if sizes.len() < 2 {
@@ -103,7 +104,7 @@
         Ok(sizes)
     }
 
-    /// Each program with the folder for its output.
+    /// Each program with its output folder.
     pub fn targets(&self) -> Result<Vec<(PathBuf, PathBuf)>, String> {
         let (programs, labels) = (self.programs.len(), self.labels.len());
         if self.axis == Axis::Members && programs > 1 {
--- a/crates/standins/examples/scale/changes.rs
+++ b/crates/standins/examples/scale/changes.rs
@@ -6,49 +6,50 @@
 use woadhook_standins::lightweight::engines::LightweightEngines;
 use woadhook_standins::{DiscoveryEvents, roster_member};
 
-/// Events that were told before: the whole list.
-pub const FIRST: u64 = 1;
+/// The number of the event that holds the initial list. Changes are numbered from the next one.
+pub const INITIAL_EVENT: u64 = 1;
 
-/// An event and when it was told.
-pub type Told = (u64, Instant);
+/// An event number and when the event was published.
+pub type PublishedEvent = (u64, Instant);
 
-/// Tells changes, one number after another.
-pub struct Changes<'a> {
+/// Publishes changes of the engine list under consecutive event numbers.
+pub struct ChangePublisher<'a> {
     events: DiscoveryEvents,
     engines: &'a LightweightEngines,
-    /// The engine that joins and leaves: the first that the list does not hold.
-    spare: usize,
-    last: u64,
+    /// The index of the engine that joins and leaves: the first one that the initial list does not contain.
+    spare_engine: usize,
+    last_event: u64,
 }
 
-impl<'a> Changes<'a> {
-    pub fn new(events: DiscoveryEvents, engines: &'a LightweightEngines, spare: usize) -> Self {
-        Self { events, engines, spare, last: FIRST }
+impl<'a> ChangePublisher<'a> {
+    pub fn new(events: DiscoveryEvents, engines: &'a LightweightEngines, spare_engine: usize) -> Self {
+        Self { events, engines, spare_engine, last_event: INITIAL_EVENT }
     }
 
-    /// Tells one change.
-    pub fn tell(&mut self) -> Told {
-        self.last += 1;
-        // An engine that left and one that joins are not the same.
-        let joins = self.last.is_multiple_of(2);
-        let name = format!("spare-{}", self.last / 2);
+    /// Publishes one change.
+    pub fn publish(&mut self) -> PublishedEvent {
+        self.last_event += 1;
+        // Each engine that joins has a new name, so that it is not taken for the one that left before.
+        let joins = self.last_event.is_multiple_of(2);
+        let name = format!("spare-{}", self.last_event / 2);
         let phase = if joins { "SERVING" } else { "DELETED" };
         let at = Instant::now();
-        self.events.add(self.last, vec![roster_member(&name, self.engines.address(self.spare), phase)]);
-        (self.last, at)
+        self.events
+            .add(self.last_event, vec![roster_member(&name, self.engines.address(self.spare_engine), phase)]);
+        (self.last_event, at)
     }
 
-    /// Tells so many a second until the other end of `over` is gone.
-    pub fn keep_on(&mut self, per_s: usize, over: &Receiver<()>) -> Vec<Told> {
-        let mut told = Vec::new();
+    /// Publishes `per_s` changes a second until the sender of `stop` is dropped.
+    pub fn publish_at_rate(&mut self, per_s: usize, stop: &Receiver<()>) -> Vec<PublishedEvent> {
+        let mut published = Vec::new();
         if per_s == 0 {
-            return told;
+            return published;
         }
-        let gap = Duration::from_secs(1) / per_s as u32;
+        let interval = Duration::from_secs(1) / per_s as u32;
         loop {
-            told.push(self.tell());
-            if over.recv_timeout(gap) != Err(RecvTimeoutError::Timeout) {
-                return told;
+            published.push(self.publish());
+            if stop.recv_timeout(interval) != Err(RecvTimeoutError::Timeout) {
+                return published;
             }
         }
     }
--- a/crates/standins/examples/scale/limits.rs
+++ b/crates/standins/examples/scale/limits.rs
@@ -1,4 +1,4 @@
-//! What the machine allows: a point is refused before anything starts where it would take more.
+//! The limits of the machine: a point that would need more is refused before anything starts.
 
 use std::fs;
 
@@ -7,29 +7,30 @@
 use crate::arguments::Axis;
 use crate::setup::Setup;
 
-/// The example and its routers may take this part of the machine's memory.
-const MEMORY_SHARE: u64 = 2;
+/// The example and its routers may use the machine's memory divided by this.
+const MEMORY_DIVISOR: u64 = 2;
 const BYTES_IN_KB: u64 = 1024;
-/// Memory in KB: a router with nothing, for each engine and each client of it, and the example itself.
-const ROUTER_KB: u64 = 16 * 1024;
-const ENGINE_KB: u64 = 128;
-const CLIENT_KB: u64 = 24;
+/// Estimated memory in KB: of a router without engines and clients, for each of its engines and clients, and
+/// of the example itself.
+const KB_PER_ROUTER: u64 = 16 * 1024;
+const KB_PER_ENGINE: u64 = 128;
+const KB_PER_CLIENT: u64 = 24;
 const EXAMPLE_KB: u64 = 256 * 1024;
-/// For each member that another one knows.
-const ACQUAINTANCE_KB: u64 = 1;
-/// Descriptors of the example that are no connections.
-const OWN_DESCRIPTORS: u64 = 200;
+/// Estimated memory in KB for each pair of a member and another member that it knows.
+const KB_PER_KNOWN_MEMBER: u64 = 1;
+/// Descriptors of the example that are not connections.
+const OTHER_DESCRIPTORS: u64 = 200;
 
-/// What there is.
+/// The resources of the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// The most descriptors of one process.
+    /// The limit of open descriptors of one process.
     pub descriptors: u64,
     pub memory_kb: u64,
 }
 
 impl Machine {
-    pub fn here() -> Result<Self, String> {
+    pub fn detect() -> Result<Self, String> {
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         let text = fs::read_to_string("/proc/meminfo").map_err(|error| format!("/proc/meminfo: {error}"))?;
         let total = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
@@ -40,63 +41,65 @@
     }
 }
 
-/// What one point takes.
-struct Needs {
+/// The resources that one point needs.
+struct Requirements {
     descriptors: u64,
     memory_kb: u64,
 }
 
-impl Needs {
-    fn of(axis: Axis, size: usize) -> Self {
-        let Some(setup) = Setup::of(axis, size) else {
-            let memory_kb = (size as u64).pow(2) * ACQUAINTANCE_KB + EXAMPLE_KB;
-            return Self { descriptors: OWN_DESCRIPTORS, memory_kb };
+impl Requirements {
+    fn at_point(axis: Axis, size: usize) -> Self {
+        let Some(setup) = Setup::at_point(axis, size) else {
+            let memory_kb = (size as u64).pow(2) * KB_PER_KNOWN_MEMBER + EXAMPLE_KB;
+            return Self { descriptors: OTHER_DESCRIPTORS, memory_kb };
         };
         let routers = setup.routers as u64;
-        let own = (setup.client_connections() + setup.engine_connections()) as u64 + OWN_DESCRIPTORS;
-        let engines = ENGINE_KB * setup.engines as u64;
-        let clients = CLIENT_KB * setup.client_connections() as u64;
+        let own_descriptors =
+            (setup.client_connections() + setup.engine_connections()) as u64 + OTHER_DESCRIPTORS;
+        let engines = KB_PER_ENGINE * setup.engines as u64;
+        let clients = KB_PER_CLIENT * setup.client_connections() as u64;
         Self {
-            descriptors: own.max(setup.descriptors as u64),
-            memory_kb: routers * (ROUTER_KB + engines) + clients + EXAMPLE_KB,
+            descriptors: own_descriptors.max(setup.descriptors as u64),
+            memory_kb: routers * (KB_PER_ROUTER + engines) + clients + EXAMPLE_KB,
         }
     }
 }
 
-/// The error says what is allowed.
+/// Fails if the size is out of range or needs more than the machine has. The error names the allowed sizes.
 pub fn check(axis: Axis, size: usize, machine: &Machine) -> Result<(), String> {
-    let (least, most) = axis.range();
+    let (min, max) = axis.allowed_range();
     let name = axis.name();
-    if !(least..=most).contains(&size) {
-        return Err(format!("{name}: {size} is out of range; allowed are {least} to {most}"));
+    if !(min..=max).contains(&size) {
+        return Err(format!("{name}: {size} is out of range; allowed are {min} to {max}"));
     }
-    let needs = Needs::of(axis, size);
-    if needs.descriptors > machine.descriptors {
+    let required = Requirements::at_point(axis, size);
+    if required.descriptors > machine.descriptors {
         return Err(format!(
             "{name}: {size} need {} descriptors a process, the limit is {} (ulimit -n); {}",
-            needs.descriptors,
+            required.descriptors,
             machine.descriptors,
-            allowed(axis, size, machine)
+            allowed_sizes(axis, size, machine)
         ));
     }
-    let memory_kb = machine.memory_kb / MEMORY_SHARE;
-    if needs.memory_kb > memory_kb {
+    let memory_kb = machine.memory_kb / MEMORY_DIVISOR;
+    if required.memory_kb > memory_kb {
         return Err(format!(
             "{name}: {size} need some {} MB, half of the machine's memory is {} MB; {}",
-            needs.memory_kb / BYTES_IN_KB,
+            required.memory_kb / BYTES_IN_KB,
             memory_kb / BYTES_IN_KB,
-            allowed(axis, size, machine)
+            allowed_sizes(axis, size, machine)
         ));
     }
     Ok(())
 }
 
-fn allowed(axis: Axis, size: usize, machine: &Machine) -> String {
-    let (least, _) = axis.range();
+fn allowed_sizes(axis: Axis, size: usize, machine: &Machine) -> String {
+    let (min, _) = axis.allowed_range();
     let fits = |size: &usize| {
-        let needs = Needs::of(axis, *size);
-        needs.descriptors <= machine.descriptors && needs.memory_kb <= machine.memory_kb / MEMORY_SHARE
+        let required = Requirements::at_point(axis, *size);
+        required.descriptors <= machine.descriptors
+            && required.memory_kb <= machine.memory_kb / MEMORY_DIVISOR
     };
-    let most = (least..size).rev().find(fits);
-    most.map_or("none are allowed".to_owned(), |most| format!("allowed are {least} to {most}"))
+    let max = (min..size).rev().find(fits);
+    max.map_or("none are allowed".to_owned(), |max| format!("allowed are {min} to {max}"))
 }
--- a/crates/standins/examples/scale/load.rs
+++ b/crates/standins/examples/scale/load.rs
@@ -1,4 +1,4 @@
-//! Hollow clients: connections at rest, and connections that ask for jobs.
+//! Lightweight clients: idle connections, and connections that send jobs.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,23 +11,23 @@
 use rand_pcg::Pcg32;
 use woadhook_standins::{Client, TEST_TIMEOUT, clients};
 
-/// Latencies in microseconds: least, most, and significant digits.
-const LEAST: u64 = 1;
-const MOST: u64 = 60_000_000;
-const DIGITS: u8 = 3;
-/// What each job is told to take and to need, and how long its client waits.
-const COST_MS: &str = "1";
-const RAM_MB: &str = "1";
-const WAIT_MS: &str = "10000";
-/// Table groups that jobs read.
-const GROUPS: u32 = 50;
-
-/// Connections that do nothing but stay. A router closes those at which nothing passed for 5 s, as clients do themselves
-/// after 4 s, so they are refreshed before each thing that is measured beside them.
-pub struct AtRest(Vec<Client>);
-
-impl AtRest {
-    /// Opens so many at a router; each is taken in before the next comes.
+/// Bounds and precision of the latency histogram.
+const MIN_LATENCY_US: u64 = 1;
+const MAX_LATENCY_US: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// The estimated cost and memory that each job declares, and how long its client waits for the result.
+const JOB_COST_MS: &str = "1";
+const JOB_MEMORY_MB: &str = "1";
+const JOB_WAIT_MS: &str = "10000";
+/// The number of table groups that jobs read.
+const TABLE_GROUPS: u32 = 50;
+
+/// Idle client connections. A router closes connections without traffic for 5 s, as clients do themselves
+/// after 4 s, so they are refreshed before each measurement.
+pub struct IdleClients(Vec<Client>);
+
+impl IdleClients {
+    /// Opens `count` connections at a router. Each has been accepted before the next one is opened.
     pub fn open(router: SocketAddr, count: usize) -> io::Result<Self> {
         let open = |_| {
             let mut client = Client(connect(router)?);
@@ -41,13 +41,13 @@
         self.0.iter_mut().try_for_each(ping)
     }
 
-    /// How many the router has closed.
-    pub fn closed(&self) -> usize {
+    /// The number of connections that the router has closed.
+    pub fn closed_count(&self) -> usize {
         let is_closed = |client: &&Client| {
             let _ = client.0.set_nonblocking(true);
-            let looked = client.0.peek(&mut [0]);
+            let peeked = client.0.peek(&mut [0]);
             let _ = client.0.set_nonblocking(false);
-            looked.map_or_else(|error| error.kind() != io::ErrorKind::WouldBlock, |count| count == 0)
+            peeked.map_or_else(|error| error.kind() != io::ErrorKind::WouldBlock, |count| count == 0)
         };
         self.0.iter().filter(is_closed).count()
     }
@@ -57,36 +57,37 @@
     if !client.try_ping() {
         return Err(io::Error::other("no answer to a ping"));
     }
-    // What of the answer the look at it left.
+    // Reads the byte of the answer that `try_ping` has left unread.
     client.0.read_exact(&mut [0])
 }
 
-/// Jobs that clients ask for, at all of the routers alike.
+/// The jobs that clients send, with the same rate and number of connections at each router.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// At each router; nothing asks for the next job as soon as one is answered.
+    /// The rate at each router; with `None` a client sends its next job as soon as the last one is answered.
     pub jobs_per_s: Option<usize>,
     pub connections: usize,
     pub span: Duration,
     pub seed: u64,
 }
 
-/// What became of them.
-pub struct Answers {
-    /// From when each job was due to its result, in microseconds.
+/// The results of the jobs of a load.
+pub struct LoadResult {
+    /// Times from when each job was due to its result, in microseconds.
     pub latencies: Histogram<u64>,
     pub served: u64,
-    /// Answered with an error.
+    /// Jobs that were answered with an error.
     pub refused: u64,
-    /// Not answered at all.
+    /// Jobs that were not answered.
     pub lost: u64,
-    pub took: Duration,
+    pub duration: Duration,
 }
 
-impl Answers {
-    fn none() -> Self {
-        let latencies = Histogram::new_with_bounds(LEAST, MOST, DIGITS).expect("bounds");
-        Self { latencies, served: 0, refused: 0, lost: 0, took: Duration::ZERO }
+impl LoadResult {
+    fn empty() -> Self {
+        let latencies =
+            Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("bounds");
+        Self { latencies, served: 0, refused: 0, lost: 0, duration: Duration::ZERO }
     }
 
     fn add(&mut self, other: &Self) {
@@ -98,54 +99,57 @@
 }
 
 impl Load {
-    /// Asks for the span; a job that is due within it is asked for, one that no connection came to by its end is not.
-    pub fn run(&self, routers: &[SocketAddr]) -> Answers {
+    /// Sends jobs for the span. A job is sent if it is due and a connection is free for it before the end of
+    /// the span.
+    pub fn run(&self, routers: &[SocketAddr]) -> LoadResult {
         let started = Instant::now();
         let due: Vec<AtomicU64> = routers.iter().map(|_| AtomicU64::new(0)).collect();
-        let mut all = Answers::none();
+        let mut total = LoadResult::empty();
         thread::scope(|scope| {
-            let places = routers.iter().zip(&due).enumerate();
-            let workers: Vec<_> = places
+            let numbered = routers.iter().zip(&due).enumerate();
+            let workers: Vec<_> = numbered
                 .flat_map(|(router, (at, due))| {
                     (0..self.connections).map(move |connection| (router, connection, *at, due))
                 })
                 .map(|(router, connection, at, due)| {
                     let number = (router * self.connections + connection) as u64;
-                    scope.spawn(move || self.ask_on(at, number, due, started))
+                    scope.spawn(move || self.run_connection(at, number, due, started))
                 })
                 .collect();
             for worker in workers {
-                all.add(&worker.join().expect("a client"));
+                total.add(&worker.join().expect("a client"));
             }
         });
-        all.took = started.elapsed();
-        all
+        total.duration = started.elapsed();
+        total
     }
 
-    fn ask_on(&self, router: SocketAddr, worker: u64, next: &AtomicU64, started: Instant) -> Answers {
-        let mut answers = Answers::none();
-        let mut chance = Pcg32::seed_from_u64(self.seed ^ worker);
+    fn run_connection(
+        &self, router: SocketAddr, worker: u64, next: &AtomicU64, started: Instant,
+    ) -> LoadResult {
+        let mut result = LoadResult::empty();
+        let mut rng = Pcg32::seed_from_u64(self.seed ^ worker);
         let mut connection = None;
         for count in 1.. {
             let due = self.due(next.fetch_add(1, Ordering::Relaxed), started);
             if due.max(Instant::now()) >= started + self.span {
-                return answers;
+                return result;
             }
             thread::sleep(due.saturating_duration_since(Instant::now()));
             let id = job_id(self.seed, worker, count);
-            match ask(&mut connection, router, count, &id, chance.random_range(0..GROUPS)) {
+            match run_job(&mut connection, router, count, &id, rng.random_range(0..TABLE_GROUPS)) {
                 Ok(true) => {
-                    answers.served += 1;
-                    answers.latencies.saturating_record(due.elapsed().as_micros() as u64);
+                    result.served += 1;
+                    result.latencies.saturating_record(due.elapsed().as_micros() as u64);
                 }
-                Ok(false) => answers.refused += 1,
+                Ok(false) => result.refused += 1,
                 Err(_) => {
-                    answers.lost += 1;
+                    result.lost += 1;
                     connection = None;
                 }
             }
         }
-        answers
+        result
     }
 
     fn due(&self, number: u64, started: Instant) -> Instant {
@@ -154,20 +158,20 @@
     }
 }
 
-/// Unlike any other's in a run: from the load, the connection and the job on it.
+/// An id that is unique in a run, made from the seed of the load, the connection and the job's number on it.
 fn job_id(seed: u64, worker: u64, count: u32) -> String {
     format!("{:04x}{:04x}{:08x}", seed as u16, worker as u16, count)
 }
 
-/// Whether a job was served.
-fn ask(
+/// Sends a job and waits for its answer; returns whether the job was served.
+fn run_job(
     connection: &mut Option<TcpStream>, router: SocketAddr, number: u32, id: &str, group: u32,
 ) -> io::Result<bool> {
     let stream = match connection {
         Some(stream) => stream,
         None => connection.insert(connect(router)?),
     };
-    let fields = [("id", id), ("wait", WAIT_MS), ("cost", COST_MS), ("ram", RAM_MB)];
+    let fields = [("id", id), ("wait", JOB_WAIT_MS), ("cost", JOB_COST_MS), ("ram", JOB_MEMORY_MB)];
     let text = format!("select 1 from sales_{group}.x");
     stream.write_all(&Client::encode_request(number, "look", &fields, &text))?;
     clients::receive_answer(stream, number)
--- a/crates/standins/examples/scale/main.rs
+++ b/crates/standins/examples/scale/main.rs
@@ -1,16 +1,19 @@
-//! What a router costs as one axis grows: `cargo run --release -p woadhook-standins --example scale -- engines` (or clients, jobs,
-//! events, routers, members; `--help` tells the rest). Real routers, processes of the built program, stand on loopback beside lightweight
-//! parties in this process; members stand on the virtual network. Prints a table, writes a CSV, a line for each measure and its
-//! plot.
+//! Measures what a router costs as one axis grows: `cargo run --release -p woadhook-standins --example scale
+//! -- engines` (or clients, jobs, events, routers, members; `--help` lists the options). Real routers,
+//! processes of the built program, run on loopback with lightweight engines, clients and discovery in this
+//! process; members run on the virtual network. The example prints a table and writes a CSV of the points,
+//! the line fitted to each measure, and its plot.
 //!
-//! Figures are for one router, the mean of all real ones: memory, descriptors and processor time at rest without a job; processor
-//! time a job, latencies and control bytes (discovery, probes and their answers) while jobs come at the point's rate; on the axis of
-//! engines, throughput while 128 clients ask one job after another, on the others that at the rate. A change is in force
-//! once the last router asks discovery for what comes behind it.
+//! Figures are for one router, the mean of all real ones. Memory, descriptors and processor time at rest are
+//! measured without jobs; processor time per job, latencies and control bytes (discovery, probes and their
+//! answers) while jobs come at the point's rate. Throughput on the axis of engines is measured while each of
+//! 128 clients sends one job after another, on the other axes at the rate. A change is in force once the last
+//! router has asked discovery for the events after it.
 //!
-//! Hollow routers are there as their number in the settings and as the load that engines report; they send nothing. What members
-//! say to one another is on the axis of members alone, where the processor time holds the virtual network's. Latencies and throughput
-//! suffer where other work shares the processors, processor time less so.
+//! Simulated routers exist only as a number in the settings and as load that engines report; they send
+//! nothing. The traffic between members is measured on the axis of members alone, where the processor time
+//! includes that of the virtual network. Latencies and throughput suffer when other work shares the
+//! processors, processor time less so.
 
 mod arguments;
 mod changes;
@@ -35,23 +38,23 @@
 
 use crate::arguments::{Arguments, Axis};
 use crate::limits::Machine;
-use crate::measure::Measured;
+use crate::measure::Measurements;
 use crate::results::Results;
 use crate::setup::Setup;
 
-/// Engines that join while others are listed.
+/// Engines that are not listed at the start and join later.
 const SPARE_ENGINES: usize = 1;
 
-/// A folder for the routers' files, which goes with its guard.
-struct Folder(PathBuf);
+/// A temporary folder for the routers' files; it is removed when the value is dropped.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new() -> Self {
         Self(std::env::temp_dir().join(format!("woadhook-scale-{}", std::process::id())))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -68,22 +71,22 @@
 }
 
 fn run(arguments: &Arguments) -> Result<(), Box<dyn Error>> {
-    let sizes = arguments.points(&Machine::here()?)?;
+    let sizes = arguments.checked_sizes(&Machine::detect()?)?;
     let targets = arguments.targets()?;
-    let on_loopback = arguments.axis != Axis::Members;
-    for (program, _) in targets.iter().filter(|_| on_loopback) {
+    let runs_program = arguments.axis != Axis::Members;
+    for (program, _) in targets.iter().filter(|_| runs_program) {
         if !program.is_file() {
             return Err(format!("--program: {} is no file; build it first", program.display()).into());
         }
     }
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let mut results: Vec<Results> = targets.iter().map(|_| Results::default()).collect();
     for round in 0..arguments.rounds {
         for size in &sizes {
             for ((program, _), results) in targets.iter().zip(&mut results) {
                 let seed = arguments.seed.wrapping_add(u64::from(round));
                 let folder = folder.0.join(format!("{round}-{size}"));
-                results.add(*size, point(arguments.axis, *size, program, &folder, seed)?);
+                results.add(*size, measure_point(arguments.axis, *size, program, &folder, seed)?);
                 let _ = fs::remove_dir_all(&folder);
             }
         }
@@ -96,10 +99,10 @@
     Ok(())
 }
 
-fn point(
+fn measure_point(
     axis: Axis, size: usize, program: &Path, folder: &Path, seed: u64,
-) -> Result<Measured, Box<dyn Error>> {
-    let Some(setup) = Setup::of(axis, size) else { return Ok(members::measure(size, seed)?) };
+) -> Result<Measurements, Box<dyn Error>> {
+    let Some(setup) = Setup::at_point(axis, size) else { return Ok(members::measure(size, seed)?) };
     let engines = LightweightEngines::start(setup.engines + SPARE_ENGINES)?;
     Ok(measure::measure(&setup, &engines, program, folder, seed)?)
 }
--- a/crates/standins/examples/scale/measure.rs
+++ b/crates/standins/examples/scale/measure.rs
@@ -14,29 +14,29 @@
 use woadhook_standins::processes::RouterProcess;
 use woadhook_standins::{DiscoveryEvents, router_config};
 
-use crate::changes::{Changes, Told};
-use crate::load::{Answers, AtRest, Load};
+use crate::changes::{ChangePublisher, PublishedEvent};
+use crate::load::{IdleClients, Load, LoadResult};
 use crate::process;
 use crate::setup::Setup;
 
 const LOG_LEVEL: &str = "info";
-/// Room for what a router holds for others.
+/// The memory limit in a router's settings.
 const MEMORY_MB: u64 = 256;
-/// Until what a start left behind is over.
-const SETTLE: Duration = Duration::from_millis(1_500);
-/// With the refresh, shorter than what a router lets a connection rest.
-const REST: Duration = Duration::from_secs(3);
-const WARM_UP: Duration = Duration::from_secs(1);
-const LOADED: Duration = Duration::from_secs(4);
-const FULL: Duration = Duration::from_secs(3);
-/// Changes of the list, where their rate is not the axis, and the pause between two.
+/// The wait after the start, until the work that follows a start has ended.
+const SETTLE_SPAN: Duration = Duration::from_millis(1_500);
+/// Together with the refresh, shorter than the time after which a router closes an idle connection.
+const IDLE_SPAN: Duration = Duration::from_secs(3);
+const WARM_UP_SPAN: Duration = Duration::from_secs(1);
+const LOADED_SPAN: Duration = Duration::from_secs(4);
+const MAX_THROUGHPUT_SPAN: Duration = Duration::from_secs(3);
+/// The number of changes of the list where their rate is not the axis or is 0, and the pause before each.
 const FEW_CHANGES: usize = 5;
-const BETWEEN_CHANGES: Duration = Duration::from_millis(200);
-/// A change is in force everywhere by then, or never.
-const IN_FORCE: Duration = Duration::from_secs(15);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
+/// A change that is not in force at all routers after this time is an error.
+const MAX_APPLY_TIME: Duration = Duration::from_secs(15);
 const MICROS_IN_MILLI: f64 = 1_000.0;
 
-/// A thing that is measured.
+/// A measured quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Measure {
     CpuPerJob,
@@ -80,90 +80,91 @@
     }
 }
 
-pub type Measured = BTreeMap<Measure, f64>;
+pub type Measurements = BTreeMap<Measure, f64>;
 
-/// The parties of one point.
-struct Site<'a> {
+/// The routers, engines, discovery servers and clients of one point.
+struct Testbed<'a> {
     setup: &'a Setup,
     engines: &'a LightweightEngines,
-    feeds: Vec<LightweightDiscovery>,
+    discoveries: Vec<LightweightDiscovery>,
     routers: Vec<RouterProcess>,
-    /// By router.
-    at_rest: Vec<AtRest>,
-    changes: Changes<'a>,
+    /// Idle clients by router.
+    idle_clients: Vec<IdleClients>,
+    changes: ChangePublisher<'a>,
     seed: u64,
 }
 
-/// Sums over all routers up to some moment.
-struct Reading {
+/// Sums over all routers from their start to `at`: processor time, and control bytes sent and received.
+struct Sample {
     at: Instant,
     cpu_us: f64,
     sent: f64,
     received: f64,
 }
 
-/// Measures one point. A note on what went wrong with jobs goes to the standard error.
+/// Measures one point. Failed jobs and closed connections are reported on standard error.
 pub fn measure(
     setup: &Setup, engines: &LightweightEngines, program: &Path, folder: &Path, seed: u64,
-) -> io::Result<Measured> {
-    let mut site = Site::start(setup, engines, program, folder, seed);
-    site.open_clients()?;
-    let mut measured = Measured::new();
-    if setup.rests {
-        site.rest(&mut measured)?;
+) -> io::Result<Measurements> {
+    let mut testbed = Testbed::start(setup, engines, program, folder, seed);
+    testbed.open_clients()?;
+    let mut measurements = Measurements::new();
+    if setup.measures_idle {
+        testbed.measure_idle(&mut measurements)?;
     }
-    site.loaded(&mut measured)?;
-    if setup.full {
-        let full = site.load(None, FULL, 2).run(&site.addresses());
-        note_failures(&full);
-        measured.insert(Measure::Throughput, throughput(&full));
+    testbed.measure_loaded(&mut measurements)?;
+    if setup.measures_max_throughput {
+        let saturated = testbed.load(None, MAX_THROUGHPUT_SPAN, 2).run(&testbed.addresses());
+        report_failures(&saturated);
+        measurements.insert(Measure::Throughput, throughput(&saturated));
     }
-    Ok(measured)
+    Ok(measurements)
 }
 
-impl<'a> Site<'a> {
+impl<'a> Testbed<'a> {
     fn start(
         setup: &'a Setup, engines: &'a LightweightEngines, program: &Path, folder: &Path, seed: u64,
     ) -> Self {
-        engines.set_reported_load(setup.busy);
+        engines.set_reported_load(setup.reported_cpu_share);
         let events = DiscoveryEvents::default();
-        let feeds: Vec<_> = (0..setup.routers).map(|_| LightweightDiscovery::start(events.clone())).collect();
+        let discoveries: Vec<_> =
+            (0..setup.routers).map(|_| LightweightDiscovery::start(events.clone())).collect();
         let listed: Vec<SocketAddr> = (0..setup.engines).map(|engine| engines.address(engine)).collect();
         let program = program.to_string_lossy();
-        let start = |(number, feed): (usize, &LightweightDiscovery)| {
-            let given = configuration(setup, &listed, number, feed.address, seed);
+        let start = |(number, discovery_server): (usize, &LightweightDiscovery)| {
+            let config = router_configuration(setup, &listed, number, discovery_server.address, seed);
             RouterProcess::start_with_log_level(
                 LOG_LEVEL,
                 &program,
                 &[],
                 folder,
                 &format!("n{number}"),
-                &given,
+                &config,
             )
         };
-        let routers: Vec<RouterProcess> = feeds.iter().enumerate().map(start).collect();
+        let routers: Vec<RouterProcess> = discoveries.iter().enumerate().map(start).collect();
         routers.iter().for_each(RouterProcess::wait_until_ready);
-        let changes = Changes::new(events, engines, setup.engines);
-        Self { setup, engines, feeds, routers, at_rest: Vec::new(), changes, seed }
+        let changes = ChangePublisher::new(events, engines, setup.engines);
+        Self { setup, engines, discoveries, routers, idle_clients: Vec::new(), changes, seed }
     }
 
     fn open_clients(&mut self) -> io::Result<()> {
-        let count = self.setup.clients_at_rest;
-        let open = |router| AtRest::open(router, count);
-        self.at_rest = self.addresses().into_iter().map(open).collect::<io::Result<_>>()?;
+        let count = self.setup.idle_clients;
+        let open = |router| IdleClients::open(router, count);
+        self.idle_clients = self.addresses().into_iter().map(open).collect::<io::Result<_>>()?;
         Ok(())
     }
 
-    /// To be called right before what is measured.
+    /// Is called right before a measurement.
     fn refresh(&mut self) -> io::Result<()> {
-        self.at_rest.iter_mut().try_for_each(AtRest::refresh)
+        self.idle_clients.iter_mut().try_for_each(IdleClients::refresh)
     }
 
-    /// To be called right after it.
-    fn note_closed(&self) {
-        let closed: usize = self.at_rest.iter().map(AtRest::closed).sum();
-        if closed > 0 {
-            eprintln!("note: {closed} connections at rest were closed");
+    /// Is called right after a measurement.
+    fn report_closed(&self) {
+        let closed_count: usize = self.idle_clients.iter().map(IdleClients::closed_count).sum();
+        if closed_count > 0 {
+            eprintln!("note: {closed_count} connections at rest were closed");
         }
     }
 
@@ -172,91 +173,99 @@
     }
 
     fn load(&self, jobs_per_s: Option<usize>, span: Duration, phase: u64) -> Load {
-        let connections = self.setup.clients_asking;
+        let connections = self.setup.active_clients;
         Load { jobs_per_s, connections, span, seed: self.seed.wrapping_mul(4).wrapping_add(phase) }
     }
 
-    /// No jobs: what a router takes, and how long a change takes to be in force.
-    fn rest(&mut self, measured: &mut Measured) -> io::Result<()> {
-        thread::sleep(SETTLE);
+    /// Measures without jobs: what a router uses, and how long a change of the list takes to be in force.
+    fn measure_idle(&mut self, measurements: &mut Measurements) -> io::Result<()> {
+        thread::sleep(SETTLE_SPAN);
         self.refresh()?;
-        measured.insert(Measure::Memory, self.mean(process::memory_kb)?);
-        measured.insert(Measure::Descriptors, self.mean(process::descriptors)?);
-        let before = self.reading()?;
-        let told = self.beside_changes(|| thread::sleep(REST)).1;
-        let after = self.reading()?;
-        self.note_closed();
-        measured.insert(Measure::CpuAtRest, self.rate(before.cpu_us, after.cpu_us, &before, &after));
+        measurements.insert(Measure::Memory, self.mean(process::memory_kb)?);
+        measurements.insert(Measure::Descriptors, self.mean(process::descriptors)?);
+        let before = self.sample()?;
+        let published = self.with_list_changes(|| thread::sleep(IDLE_SPAN)).1;
+        let after = self.sample()?;
+        self.report_closed();
+        measurements.insert(Measure::CpuAtRest, self.rate(before.cpu_us, after.cpu_us, &before, &after));
         self.refresh()?;
-        let told = if told.is_empty() { self.few_changes() } else { told };
-        measured.insert(Measure::InForce, self.in_force(&told)?);
+        let published = if published.is_empty() { self.publish_few_changes() } else { published };
+        measurements.insert(Measure::InForce, self.median_apply_time(&published)?);
         Ok(())
     }
 
-    /// Jobs at the point's rate.
-    fn loaded(&mut self, measured: &mut Measured) -> io::Result<()> {
+    /// Measures while jobs come at the point's rate.
+    fn measure_loaded(&mut self, measurements: &mut Measurements) -> io::Result<()> {
         let (routers, rate) = (self.addresses(), self.setup.jobs_per_s);
-        note_failures(&self.load(Some(rate), WARM_UP, 0).run(&routers));
-        let load = self.load(Some(rate), LOADED, 1);
+        report_failures(&self.load(Some(rate), WARM_UP_SPAN, 0).run(&routers));
+        let load = self.load(Some(rate), LOADED_SPAN, 1);
         self.refresh()?;
-        let before = self.reading()?;
-        let (answers, _) = self.beside_changes(|| load.run(&routers));
-        let after = self.reading()?;
-        self.note_closed();
-        note_failures(&answers);
-        let at = |quantile| answers.latencies.value_at_quantile(quantile) as f64 / MICROS_IN_MILLI;
-        let jobs = answers.served.max(1) as f64;
-        measured.insert(Measure::CpuPerJob, (after.cpu_us - before.cpu_us) / jobs);
-        measured.insert(Measure::P50, at(0.5));
-        measured.insert(Measure::P99, at(0.99));
-        measured.insert(Measure::Throughput, throughput(&answers) / self.setup.routers as f64);
-        measured.insert(Measure::ControlSent, self.rate(before.sent, after.sent, &before, &after));
+        let before = self.sample()?;
+        let (result, _) = self.with_list_changes(|| load.run(&routers));
+        let after = self.sample()?;
+        self.report_closed();
+        report_failures(&result);
+        let at = |quantile| result.latencies.value_at_quantile(quantile) as f64 / MICROS_IN_MILLI;
+        let jobs = result.served.max(1) as f64;
+        measurements.insert(Measure::CpuPerJob, (after.cpu_us - before.cpu_us) / jobs);
+        measurements.insert(Measure::P50, at(0.5));
+        measurements.insert(Measure::P99, at(0.99));
+        measurements.insert(Measure::Throughput, throughput(&result) / self.setup.routers as f64);
+        measurements.insert(Measure::ControlSent, self.rate(before.sent, after.sent, &before, &after));
         let received = self.rate(before.received, after.received, &before, &after);
-        measured.insert(Measure::ControlReceived, received);
+        measurements.insert(Measure::ControlReceived, received);
         Ok(())
     }
 
-    /// Does something while the list changes at the point's rate.
-    fn beside_changes<T>(&mut self, act: impl FnOnce() -> T) -> (T, Vec<Told>) {
+    /// Does `work` while the list changes at the point's rate.
+    fn with_list_changes<T>(&mut self, work: impl FnOnce() -> T) -> (T, Vec<PublishedEvent>) {
         let (per_s, changes) = (self.setup.changes_per_s, &mut self.changes);
-        let (end, over) = mpsc::channel::<()>();
+        let (stop, stop_receiver) = mpsc::channel::<()>();
         thread::scope(|scope| {
-            let changing = scope.spawn(move || changes.keep_on(per_s, &over));
-            let done = act();
-            drop(end);
+            let changing = scope.spawn(move || changes.publish_at_rate(per_s, &stop_receiver));
+            let done = work();
+            drop(stop);
             (done, changing.join().expect("changes"))
         })
     }
 
-    fn few_changes(&mut self) -> Vec<Told> {
-        let tell = |_| {
-            thread::sleep(BETWEEN_CHANGES);
-            self.changes.tell()
+    fn publish_few_changes(&mut self) -> Vec<PublishedEvent> {
+        let publish = |_| {
+            thread::sleep(CHANGE_INTERVAL);
+            self.changes.publish()
         };
-        (0..FEW_CHANGES).map(tell).collect()
+        (0..FEW_CHANGES).map(publish).collect()
     }
 
-    /// The median over changes, in milliseconds, until the last router had taken one in.
-    fn in_force(&self, told: &[Told]) -> io::Result<f64> {
-        let mut spans = told.iter().map(|told| self.one_in_force(*told)).collect::<io::Result<Vec<_>>>()?;
+    /// The median over changes of the time until the last router has applied the change, in milliseconds.
+    fn median_apply_time(&self, published: &[PublishedEvent]) -> io::Result<f64> {
+        let mut spans =
+            published.iter().map(|published| self.apply_time(*published)).collect::<io::Result<Vec<_>>>()?;
         spans.sort_by(f64::total_cmp);
         Ok(spans[spans.len() / 2])
     }
 
-    fn one_in_force(&self, (event, at): Told) -> io::Result<f64> {
-        let everywhere = || self.feeds.iter().map(|feed| feed.applied_at(event)).collect::<Option<Vec<_>>>();
+    fn apply_time(&self, (event, at): PublishedEvent) -> io::Result<f64> {
+        let apply_moments = || {
+            self.discoveries
+                .iter()
+                .map(|discovery_server| discovery_server.applied_at(event))
+                .collect::<Option<Vec<_>>>()
+        };
         loop {
-            if let Some(last) = everywhere().and_then(|moments| moments.into_iter().max()) {
+            if let Some(last) = apply_moments().and_then(|moments| moments.into_iter().max()) {
                 return Ok(last.saturating_duration_since(at).as_secs_f64() * MICROS_IN_MILLI);
             }
-            if at.elapsed() > IN_FORCE {
-                return Err(io::Error::other(format!("change {event} is not in force after {IN_FORCE:?}")));
+            if at.elapsed() > MAX_APPLY_TIME {
+                return Err(io::Error::other(format!(
+                    "change {event} is not in force after {MAX_APPLY_TIME:?}"
+                )));
             }
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// The mean over routers.
+    /// The mean over all routers.
     fn mean(&self, read: fn(u32) -> io::Result<f64>) -> io::Result<f64> {
         Ok(self.sum(read)? / self.routers.len() as f64)
     }
@@ -265,41 +274,41 @@
         self.routers.iter().map(|router| read(router.id().expect("it runs"))).sum()
     }
 
-    fn reading(&self) -> io::Result<Reading> {
+    fn sample(&self) -> io::Result<Sample> {
         let probes = self.engines.total_counts();
-        let traffic: Vec<(u64, u64)> = self.feeds.iter().map(LightweightDiscovery::traffic).collect();
+        let traffic: Vec<(u64, u64)> = self.discoveries.iter().map(LightweightDiscovery::traffic).collect();
         let sent = probes.probe_bytes + traffic.iter().map(|(received, _)| received).sum::<u64>();
         let received = probes.report_bytes + traffic.iter().map(|(_, sent)| sent).sum::<u64>();
         let cpu_us = self.sum(process::cpu_us)?;
-        Ok(Reading { at: Instant::now(), cpu_us, sent: sent as f64, received: received as f64 })
+        Ok(Sample { at: Instant::now(), cpu_us, sent: sent as f64, received: received as f64 })
     }
 
-    /// A second and router.
-    fn rate(&self, from: f64, to: f64, before: &Reading, after: &Reading) -> f64 {
+    /// The increase per second and router.
+    fn rate(&self, from: f64, to: f64, before: &Sample, after: &Sample) -> f64 {
         let span = after.at.duration_since(before.at).as_secs_f64();
         (to - from) / span / self.routers.len() as f64
     }
 }
 
-/// What one router is told.
-fn configuration(
+/// The configuration of one router.
+fn router_configuration(
     setup: &Setup, engines: &[SocketAddr], number: usize, discovery: SocketAddr, seed: u64,
 ) -> String {
     let text = router_config(engines, discovery, setup.descriptors);
-    let mut given: Value = serde_json::from_str(&text).expect("a configuration");
-    given["seed"] = json!(format!("{:016x}", seed.wrapping_add(number as u64)));
-    given["limits"]["memory_mb"] = json!(MEMORY_MB);
-    let settings = &mut given["settings"];
+    let mut config: Value = serde_json::from_str(&text).expect("a configuration");
+    config["seed"] = json!(format!("{:016x}", seed.wrapping_add(number as u64)));
+    config["limits"]["memory_mb"] = json!(MEMORY_MB);
+    let settings = &mut config["settings"];
     (settings["replicasOfMe"], settings["myNumber"]) = (json!(setup.replicas), json!(number));
-    given.to_string()
+    config.to_string()
 }
 
-fn throughput(answers: &Answers) -> f64 {
-    answers.served as f64 / answers.took.as_secs_f64()
+fn throughput(result: &LoadResult) -> f64 {
+    result.served as f64 / result.duration.as_secs_f64()
 }
 
-fn note_failures(answers: &Answers) {
-    let Answers { served, refused, lost, .. } = answers;
+fn report_failures(result: &LoadResult) {
+    let LoadResult { served, refused, lost, .. } = result;
     if refused + lost > 0 {
         eprintln!("note: {refused} jobs were refused and {lost} lost beside {served} that were served");
     }
--- a/crates/standins/examples/scale/output.rs
+++ b/crates/standins/examples/scale/output.rs
@@ -1,4 +1,5 @@
-//! Writes what was measured: a table for people, a CSV of the points, one of all axes' lines, and plots.
+//! Writes the results: a printed table, a CSV of the points, a CSV of the fitted lines of all axes, and
+//! plots.
 
 use std::error::Error;
 use std::fs;
@@ -16,11 +17,12 @@
 
 pub fn print(axis: Axis, results: &Results) {
     let measures = results.measures();
-    let heads = measures.iter().map(|measure| format!("{} ({})", measure.name(), measure.unit()));
-    println!("| {} | {} |", axis.name(), heads.collect::<Vec<_>>().join(" | "));
+    let headings = measures.iter().map(|measure| format!("{} ({})", measure.name(), measure.unit()));
+    println!("| {} | {} |", axis.name(), headings.collect::<Vec<_>>().join(" | "));
     println!("|{}", " --- |".repeat(measures.len() + 1));
     for size in results.sizes() {
-        let value = |measure| results.value(measure, size).map_or("".to_owned(), |(value, _)| figure(value));
+        let value =
+            |measure| results.value(measure, size).map_or("".to_owned(), |(value, _)| format_value(value));
         let values: Vec<String> = measures.iter().map(|measure| value(*measure)).collect();
         println!("| {size} | {} |", values.join(" | "));
     }
@@ -32,7 +34,7 @@
     }
 }
 
-/// Writes all files of an axis to a folder; in the file of lines, the other axes' rows stay.
+/// Writes all files of an axis to a folder. The rows of the other axes in the file of the lines are kept.
 pub fn write(axis: Axis, results: &Results, folder: &Path) -> Result<(), Box<dyn Error>> {
     fs::create_dir_all(folder)?;
     write_points(axis, results, &folder.join(format!("{}.csv", axis.name())))?;
@@ -50,7 +52,7 @@
     for size in results.sizes() {
         for measure in results.measures() {
             let Some((value, runs)) = results.value(measure, size) else { continue };
-            let (size, value, runs) = (size.to_string(), figure(value), runs.to_string());
+            let (size, value, runs) = (size.to_string(), format_value(value), runs.to_string());
             writer.write_record([axis.name(), &size, measure.name(), measure.unit(), &value, &runs])?;
         }
     }
@@ -60,10 +62,10 @@
 fn write_slopes(axis: Axis, results: &Results, file: &Path) -> Result<(), Box<dyn Error>> {
     let mut rows = other_slopes(axis, file)?;
     for (measure, line) in results.lines() {
-        let figures = [line.slope, line.intercept, line.residual].map(exact);
+        let figures = [line.slope, line.intercept, line.residual].map(format_slope);
         let names = [axis.name(), measure.name(), measure.unit()].map(str::to_owned);
         let mut row: StringRecord = names.iter().chain(&figures).collect();
-        row.push_field(&line.points.to_string());
+        row.push_field(&line.point_count.to_string());
         rows.push(row);
     }
     rows.sort_by_key(|row| (row[0].to_owned(), row[1].to_owned()));
@@ -73,7 +75,7 @@
     Ok(writer.flush()?)
 }
 
-/// The rows of the other axes.
+/// The rows of the other axes in the file of the lines.
 fn other_slopes(axis: Axis, file: &Path) -> Result<Vec<StringRecord>, Box<dyn Error>> {
     if !file.exists() {
         return Ok(Vec::new());
@@ -82,12 +84,12 @@
     Ok(rows.into_iter().filter(|row| row.get(0) != Some(axis.name())).collect())
 }
 
-/// Two places, or three figures of what is small.
-fn figure(value: f64) -> String {
+/// One decimal place, or three for values below one.
+fn format_value(value: f64) -> String {
     if value.abs() < 1.0 { format!("{value:.3}") } else { format!("{value:.1}") }
 }
 
-/// Slopes may be far below one.
-fn exact(value: f64) -> String {
+/// Six decimal places, as slopes may be far below one.
+fn format_slope(value: f64) -> String {
     format!("{value:.6}")
 }
--- a/crates/standins/examples/scale/process.rs
+++ b/crates/standins/examples/scale/process.rs
@@ -1,13 +1,13 @@
-//! What the system tells of a process.
+//! Resource usage of a process, read from `/proc`.
 
 use std::fs;
 use std::io;
 
 const NANOS_IN_MICRO: f64 = 1_000.0;
-const MEMORY: &str = "VmRSS:";
+const RESIDENT_MEMORY_FIELD: &str = "VmRSS:";
 
-/// The processor time of all its threads so far, in microseconds. This is what `/proc/PID/stat` rounds to ticks of 10 ms, more than
-/// a router takes in a second at rest.
+/// The processor time of all threads of the process so far, in microseconds. `/proc/PID/stat` would round it
+/// to ticks of 10 ms, which is more than an idle router uses in a second.
 pub fn cpu_us(process: u32) -> io::Result<f64> {
     let mut sum = 0.0;
     for thread in fs::read_dir(format!("/proc/{process}/task"))? {
@@ -21,12 +21,12 @@
 /// Resident memory in KB.
 pub fn memory_kb(process: u32) -> io::Result<f64> {
     let text = fs::read_to_string(format!("/proc/{process}/status"))?;
-    let line = text.lines().find_map(|line| line.strip_prefix(MEMORY));
+    let line = text.lines().find_map(|line| line.strip_prefix(RESIDENT_MEMORY_FIELD));
     let digits = line.and_then(|line| line.split_whitespace().next());
     digits.and_then(|digits| digits.parse().ok()).ok_or_else(|| io::Error::other("status has no VmRSS"))
 }
 
-/// Open descriptors.
+/// The number of open descriptors.
 pub fn descriptors(process: u32) -> io::Result<f64> {
     Ok(fs::read_dir(format!("/proc/{process}/fd"))?.count() as f64)
 }
--- a/crates/standins/examples/scale/results.rs
+++ b/crates/standins/examples/scale/results.rs
@@ -1,17 +1,17 @@
-//! What was measured over all rounds: medians, and the lines through them.
+//! The results of all rounds: medians, and the lines that are fitted to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::fit::Line;
-use crate::measure::{Measure, Measured};
+use crate::measure::{Measure, Measurements};
 
 /// The values of each measure at each size.
 #[derive(Default)]
 pub struct Results(BTreeMap<(Measure, usize), Vec<f64>>);
 
 impl Results {
-    pub fn add(&mut self, size: usize, measured: Measured) {
-        for (measure, value) in measured {
+    pub fn add(&mut self, size: usize, measurements: Measurements) {
+        for (measure, value) in measurements {
             self.0.entry((measure, size)).or_default().push(value);
         }
     }
@@ -24,7 +24,7 @@
         self.0.keys().map(|(measure, _)| *measure).collect()
     }
 
-    /// The median and of how many runs.
+    /// The median and the number of runs that it is taken over.
     pub fn value(&self, measure: Measure, size: usize) -> Option<(f64, usize)> {
         let mut values = self.0.get(&(measure, size))?.clone();
         values.sort_by(f64::total_cmp);
@@ -37,13 +37,13 @@
         Some((median, values.len()))
     }
 
-    /// A measure's medians by size.
+    /// The medians of a measure by size.
     pub fn points(&self, measure: Measure) -> Vec<(f64, f64)> {
         let point = |size: usize| Some((size as f64, self.value(measure, size)?.0));
         self.sizes().into_iter().filter_map(point).collect()
     }
 
-    /// The line of each measure that has one.
+    /// The fitted line of each measure that has one.
     pub fn lines(&self) -> Vec<(Measure, Line)> {
         let line = |measure| Some((measure, Line::fit(&self.points(measure))?));
         self.measures().into_iter().filter_map(line).collect()
--- a/crates/standins/examples/scale/setup.rs
+++ b/crates/standins/examples/scale/setup.rs
@@ -1,110 +1,122 @@
-//! What stands at one point of an axis on loopback, and what is measured there.
+//! The processes, clients and rates of one point of an axis on loopback, and the measurements that are made
+//! there.
 
 use crate::arguments::Axis;
 
-/// Routers of the target; those that are not real show in the settings and in the load that engines report.
-const ALL_ROUTERS: usize = 1_800;
-/// Jobs a second at each router, where they are not the axis.
-const RATE: usize = 250;
-/// On the axis of engines: a rate that the last point bears too.
-const RATE_OF_ENGINES: usize = 100;
-const FEW_ENGINES: usize = 80;
+/// The number of routers of the target. Those that do not run are simulated: they are counted in the settings
+/// and in the load that engines report.
+const TARGET_ROUTERS: usize = 1_800;
+/// Jobs a second at each router, unless they are the axis.
+const JOBS_PER_S: usize = 250;
+/// Jobs a second on the axis of engines: a rate that a router sustains at the last point too.
+const ENGINE_AXIS_JOBS_PER_S: usize = 100;
+const DEFAULT_ENGINES: usize = 80;
 const MANY_ENGINES: usize = 600;
-/// Connections of clients that ask, at each router; each has one job out at a time.
-const ASKING: usize = 128;
-const ASKING_OF_MANY: usize = 32;
-/// Descriptors of each router, where it is one, where it has many clients, and where there are several.
+/// Client connections that send jobs, at each router; each has one job in progress at a time.
+const ACTIVE_CLIENTS: usize = 128;
+const ACTIVE_CLIENTS_WITH_PEERS: usize = 32;
+/// The descriptor limit of each router: of a single one (`descriptors` raises it for many clients), and where
+/// several run.
 const DESCRIPTORS: usize = 6_000;
-const DESCRIPTORS_OF_MANY: usize = 1_600;
-/// A router keeps a third of its descriptors for clients.
-const CLIENT_PART: usize = 3;
-/// Clients that a router has room for beyond those of the point.
+const DESCRIPTORS_WITH_PEERS: usize = 1_600;
+/// A router reserves a third of its descriptors for clients.
+const CLIENT_DIVISOR: usize = 3;
+/// Clients that a router can accept beyond those of the point.
 const SPARE_CLIENTS: usize = 64;
-/// The processor time of a query at an engine, as hollow routers load them, and an engine's cores.
-const WORK_SECS: f64 = 0.001;
-const CORES: f64 = 8.0;
+/// The processor time of a query of a simulated router at an engine, and an engine's cores.
+const QUERY_CPU_SECS: f64 = 0.001;
+const ENGINE_CORES: f64 = 8.0;
 
-/// One point.
+/// One point of an axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setup {
     pub engines: usize,
-    /// Real ones.
+    /// Routers that run.
     pub routers: usize,
-    /// All that the settings speak of.
+    /// The number of routers in the settings, with the simulated ones.
     pub replicas: usize,
-    /// The share of their processors that engines report, as hollow routers load them.
-    pub busy: f64,
+    /// The processor load that engines report, as a share of their cores: the load by the simulated routers.
+    pub reported_cpu_share: f64,
+    /// Client connections without jobs, at each router.
+    pub idle_clients: usize,
+    /// Client connections that send jobs, at each router.
+    pub active_clients: usize,
     /// At each router.
-    pub clients_at_rest: usize,
-    pub clients_asking: usize,
     pub jobs_per_s: usize,
+    /// Changes of the engine list.
     pub changes_per_s: usize,
-    /// Of each router.
+    /// The descriptor limit of each router.
     pub descriptors: usize,
-    /// Whether there is a time at rest to measure.
-    pub rests: bool,
-    /// Whether as many jobs are asked as are answered, too.
-    pub full: bool,
+    /// Whether the point is also measured without jobs.
+    pub measures_idle: bool,
+    /// Whether the maximum throughput is also measured: each client sends a job as soon as its last one is
+    /// answered.
+    pub measures_max_throughput: bool,
 }
 
 impl Setup {
-    /// Nothing for the axis that stands on the virtual network.
-    pub fn of(axis: Axis, size: usize) -> Option<Self> {
-        let usual = Self::usual();
+    /// `None` for the axis that runs on the virtual network.
+    pub fn at_point(axis: Axis, size: usize) -> Option<Self> {
+        let default_point = Self::default_point();
         let setup = match axis {
             Axis::Members => return None,
-            Axis::Engines => Self { engines: size, jobs_per_s: RATE_OF_ENGINES, full: true, ..usual },
-            Axis::Clients => Self { clients_at_rest: size, descriptors: descriptors(size), ..usual },
-            Axis::Jobs => Self { jobs_per_s: size, rests: false, ..usual },
-            Axis::Events => Self { engines: MANY_ENGINES, changes_per_s: size, ..usual },
-            Axis::Routers => Self::shared(size),
+            Axis::Engines => Self {
+                engines: size,
+                jobs_per_s: ENGINE_AXIS_JOBS_PER_S,
+                measures_max_throughput: true,
+                ..default_point
+            },
+            Axis::Clients => Self { idle_clients: size, descriptors: descriptors(size), ..default_point },
+            Axis::Jobs => Self { jobs_per_s: size, measures_idle: false, ..default_point },
+            Axis::Events => Self { engines: MANY_ENGINES, changes_per_s: size, ..default_point },
+            Axis::Routers => Self::with_peers(size),
         };
         Some(setup)
     }
 
-    fn usual() -> Self {
+    fn default_point() -> Self {
         Self {
-            engines: FEW_ENGINES,
+            engines: DEFAULT_ENGINES,
             routers: 1,
             replicas: 1,
-            busy: 0.0,
-            clients_at_rest: 0,
-            clients_asking: ASKING,
-            jobs_per_s: RATE,
+            reported_cpu_share: 0.0,
+            idle_clients: 0,
+            active_clients: ACTIVE_CLIENTS,
+            jobs_per_s: JOBS_PER_S,
             changes_per_s: 0,
             descriptors: DESCRIPTORS,
-            rests: true,
-            full: false,
+            measures_idle: true,
+            measures_max_throughput: false,
         }
     }
 
-    /// So many real routers among hollow ones.
-    fn shared(routers: usize) -> Self {
-        let hollow = ALL_ROUTERS.saturating_sub(routers);
-        let queries_per_s = (hollow * RATE) as f64 / MANY_ENGINES as f64;
+    /// `routers` real routers; the others of the target are simulated.
+    fn with_peers(routers: usize) -> Self {
+        let simulated = TARGET_ROUTERS.saturating_sub(routers);
+        let queries_per_s = (simulated * JOBS_PER_S) as f64 / MANY_ENGINES as f64;
         Self {
             engines: MANY_ENGINES,
             routers,
-            replicas: ALL_ROUTERS,
-            busy: queries_per_s * WORK_SECS / CORES,
-            clients_asking: ASKING_OF_MANY,
-            descriptors: DESCRIPTORS_OF_MANY,
-            ..Self::usual()
+            replicas: TARGET_ROUTERS,
+            reported_cpu_share: queries_per_s * QUERY_CPU_SECS / ENGINE_CORES,
+            active_clients: ACTIVE_CLIENTS_WITH_PEERS,
+            descriptors: DESCRIPTORS_WITH_PEERS,
+            ..Self::default_point()
         }
     }
 
-    /// Connections of clients at all routers.
+    /// The number of client connections at all routers.
     pub fn client_connections(&self) -> usize {
-        self.routers * (self.clients_at_rest + self.clients_asking)
+        self.routers * (self.idle_clients + self.active_clients)
     }
 
-    /// The most connections of all routers to engines.
+    /// The maximum number of connections from all routers to engines.
     pub fn engine_connections(&self) -> usize {
-        self.routers * (self.descriptors - self.descriptors / CLIENT_PART)
+        self.routers * (self.descriptors - self.descriptors / CLIENT_DIVISOR)
     }
 }
 
-/// As many as a router needs for such clients at rest, at least the usual.
+/// The descriptors that a router needs for `clients` idle clients, at least `DESCRIPTORS`.
 fn descriptors(clients: usize) -> usize {
-    DESCRIPTORS.max(CLIENT_PART * (clients + ASKING + SPARE_CLIENTS))
+    DESCRIPTORS.max(CLIENT_DIVISOR * (clients + ACTIVE_CLIENTS + SPARE_CLIENTS))
 }
