--- a/crates/standins/examples/decisions.rs
+++ b/crates/standins/examples/decisions.rs
@@ -1,7 +1,8 @@
-//! What the decision module decides, and what that costs, on a simulated pool: `cargo run --release -p
-//! woadhook-standins --example decisions -- ENGINES JOBS SEED calm|rough`. Equal words give equal decisions, so that
-//! two builds of the module that should decide alike print the same count and checksum. Rough days have jobs of all
-//! kinds, bursts beyond the limit, and engines that hang, fail, answer slowly, restart, and leave the list.
+//! Runs the decision module on a simulated pool and measures its processor time: `cargo run --release -p
+//! woadhook-standins --example decisions -- ENGINES JOBS SEED calm|rough`. Equal arguments give equal
+//! decisions, so two builds of the module that should decide alike print the same count and checksum. `rough`
+//! has jobs of all reservation types, bursts beyond the limit, and engines that hang, fail, answer slowly,
+//! restart, and leave the list.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,15 +14,15 @@
 use woadhook::*;
 
 const START: Moment = Moment::from_micros(1_000_000_000);
-/// A router that only just started lets a cold-start window pass, so its jobs come later.
+/// A router that has just started waits for a cold-start window, so the first job arrives after that.
 const FIRST_JOB: Span = Span::from_micros(3_000_000);
 const JOBS_PER_SECOND: f64 = 3_000.0;
 const TABLE_GROUPS: usize = 64;
-const KEYS: usize = 100;
-/// On rough days: between changes of an engine, and between words of other routers.
-const CHANGE: Span = Span::from_micros(50_000);
-const CONNECT: Span = Span::from_micros(1_000);
-const PROBE: Span = Span::from_micros(2_000);
+const ORDER_KEYS: usize = 100;
+/// In `rough` runs, the interval between changes of an engine and between peers' reports.
+const CHANGE_INTERVAL: Span = Span::from_micros(50_000);
+const CONNECT_TIME: Span = Span::from_micros(1_000);
+const PROBE_TIME: Span = Span::from_micros(2_000);
 
 fn millis(count: u64) -> Span {
     Span::from_micros(count * 1_000)
@@ -44,7 +45,7 @@
     }
 }
 
-/// Look-ups, reports behind loads, keyed jobs in order, and loads.
+/// Look-ups, reports that wait for loads, ordered jobs with keys, and loads.
 fn reservation_types() -> Vec<ReservationType> {
     let keyed = Effect::Keyed { scope: Scope::Zone, window: millis(400) };
     vec![
@@ -72,36 +73,46 @@
     };
     let retry_budget =
         rough.then_some(RetryBudget { free_retries: 10.0, retry_ratio: 0.1, window: millis(5_000) });
-    let further = RetryLimits {
+    let retry_limits = RetryLimits {
         max_dispatches: 4,
         concurrent_dispatches: rough,
         can_cancel: true,
         key_rest: millis(5),
         retry_budget,
     };
-    let watching = Monitoring {
+    let monitoring = Monitoring {
         may_probe: true,
         reports_with_probes_only: rough,
         connect_timeout: millis(250),
         progress_period: millis(200),
         max_list_age: None,
     };
-    let answers = AnswerPolicy {
+    let answer_policy = AnswerPolicy {
         slack: millis(20),
         max_retry_after: Some(millis(2_000)),
         value_by_work: false,
         over_share_factor: 0.1,
         tenant_rates: vec![500.0, 1_000.0],
     };
-    let terms = MemoryGrants { enabled: true, max_grant_share: 0.5 };
-    Router::new(START, seed, reservation_types(), fleet, cold, further, watching, answers, terms)
+    let memory_grants = MemoryGrants { enabled: true, max_grant_share: 0.5 };
+    Router::new(
+        START,
+        seed,
+        reservation_types(),
+        fleet,
+        cold,
+        retry_limits,
+        monitoring,
+        answer_policy,
+        memory_grants,
+    )
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happens {
+enum SimulationEvent {
     Arrival,
     Ended { job: usize, number: usize, outcome: usize },
-    Probed { engine: usize, well: bool },
+    Probed { engine: usize, healthy: bool },
     Change,
     Wake,
 }
@@ -116,110 +127,110 @@
 ];
 const CANCELLED: usize = 5;
 
-/// How an engine is: its runs take so many times their work, and so many in a hundred fail.
+/// The behaviour of an engine: `slowdown` multiplies the run time of its dispatches, `failure_share` of them
+/// fail.
 #[derive(Clone, Copy)]
-struct Machine {
-    slowness: f64,
-    failing: f64,
+struct EngineModel {
+    slowdown: f64,
+    failure_share: f64,
     hangs: bool,
 }
 
 struct Pool {
     rough: bool,
-    chance: Pcg32,
+    rng: Pcg32,
     now: Moment,
-    coming: BinaryHeap<Reverse<(Moment, u64, Happens)>>,
-    events: u64,
+    event_queue: BinaryHeap<Reverse<(Moment, u64, SimulationEvent)>>,
+    event_sequence: u64,
     jobs_left: usize,
     next_job: usize,
-    engines: Vec<Machine>,
-    /// When each dispatch that is out began, by job and number.
-    out: BTreeMap<(usize, usize), Moment>,
+    engines: Vec<EngineModel>,
+    /// The start of each dispatch that has not ended, by job and number.
+    open_dispatches: BTreeMap<(usize, usize), Moment>,
     dispatches: BTreeMap<usize, usize>,
     router: Router,
     decisions: u64,
     checksum: u64,
-    spent: Duration,
-    words: String,
+    module_time: Duration,
+    text: String,
 }
 
 impl Pool {
     fn new(engines: usize, jobs: usize, seed: u64, rough: bool) -> Self {
-        let well = Machine { slowness: 1.0, failing: 0.0, hangs: false };
+        let healthy = EngineModel { slowdown: 1.0, failure_share: 0.0, hangs: false };
         let mut pool = Self {
             rough,
-            chance: Pcg32::seed_from_u64(seed),
+            rng: Pcg32::seed_from_u64(seed),
             now: START,
-            coming: BinaryHeap::new(),
-            events: 0,
+            event_queue: BinaryHeap::new(),
+            event_sequence: 0,
             jobs_left: jobs,
             next_job: 0,
-            engines: vec![well; engines],
-            out: BTreeMap::new(),
+            engines: vec![healthy; engines],
+            open_dispatches: BTreeMap::new(),
             dispatches: BTreeMap::new(),
             router: router(seed, rough),
             decisions: 0,
             checksum: 0xcbf2_9ce4_8422_2325,
-            spent: Duration::ZERO,
-            words: String::new(),
+            module_time: Duration::ZERO,
+            text: String::new(),
         };
-        (0..engines).for_each(|engine| pool.list(engine, EngineStatus::Live, None));
-        pool.after(FIRST_JOB, Happens::Arrival);
+        (0..engines).for_each(|engine| pool.list_engine(engine, EngineStatus::Live, None));
+        pool.after(FIRST_JOB, SimulationEvent::Arrival);
         if rough {
-            pool.after(FIRST_JOB, Happens::Change);
+            pool.after(FIRST_JOB, SimulationEvent::Change);
         }
         pool
     }
 
-    fn after(&mut self, span: Span, happens: Happens) {
-        self.events += 1;
-        self.coming.push(Reverse((self.now + span, self.events, happens)));
+    fn after(&mut self, span: Span, event: SimulationEvent) {
+        self.event_sequence += 1;
+        self.event_queue.push(Reverse((self.now + span, self.event_sequence, event)));
     }
 
-    fn list(&mut self, engine: usize, listed: EngineStatus, came_up: Option<Moment>) {
+    fn list_engine(&mut self, engine: usize, listed: EngineStatus, started_at: Option<Moment>) {
         let (zone, kind, cell) = (ZoneId(engine % 3), KindId(engine % 2), CellId(engine % 5));
-        let mark = (engine as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let stable_hash = (engine as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let stamp = |at: Moment| at.since(Moment::default()).micros();
-        let start = came_up.map(|at| EngineStart { stamp: stamp(at), age: self.now.since(at) });
-        self.router.engine_listed(self.now, EngineId(engine), zone, kind, cell, listed, start, mark);
+        let start = started_at.map(|at| EngineStart { stamp: stamp(at), age: self.now.since(at) });
+        self.router.engine_listed(self.now, EngineId(engine), zone, kind, cell, listed, start, stable_hash);
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((at, _, happens))) = self.coming.pop() {
-            let waits_only = matches!(happens, Happens::Wake | Happens::Change);
-            if waits_only && self.jobs_left == 0 && self.out.is_empty() {
+        while let Some(Reverse((at, _, event))) = self.event_queue.pop() {
+            let is_background = matches!(event, SimulationEvent::Wake | SimulationEvent::Change);
+            if is_background && self.jobs_left == 0 && self.open_dispatches.is_empty() {
                 continue;
             }
             self.now = at;
-            self.happens(happens);
-            self.pull();
+            self.handle(event);
+            self.execute_decisions();
         }
     }
 
-    fn happens(&mut self, happens: Happens) {
-        match happens {
-            Happens::Arrival => self.arrival(),
-            Happens::Ended { job, number, outcome } => self.ended(job, number, outcome),
-            Happens::Probed { engine, well } => {
-                let outcome = if well { Outcome::Done } else { Outcome::TimedOut };
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival => self.job_arrives(),
+            SimulationEvent::Ended { job, number, outcome } => self.dispatch_ends(job, number, outcome),
+            SimulationEvent::Probed { engine, healthy } => {
+                let outcome = if healthy { Outcome::Done } else { Outcome::TimedOut };
                 self.router.probe_ended(self.now, EngineId(engine), outcome);
             }
-            Happens::Change => self.change(),
-            Happens::Wake => {}
+            SimulationEvent::Change => self.change(),
+            SimulationEvent::Wake => {}
         }
     }
 
-    fn arrival(&mut self) {
+    fn job_arrives(&mut self) {
         self.jobs_left -= 1;
         let job = self.next_job;
         self.next_job += 1;
-        let kind = if self.rough { [0, 0, 0, 1, 1, 2, 2, 3][self.chance.random_range(0..8)] } else { 0 };
-        let group = GroupId(self.chance.random_range(0..TABLE_GROUPS));
-        let key = (kind == 2).then(|| KeyId(self.chance.random_range(0..KEYS)));
+        let kind = if self.rough { [0, 0, 0, 1, 1, 2, 2, 3][self.rng.random_range(0..8)] } else { 0 };
+        let group = GroupId(self.rng.random_range(0..TABLE_GROUPS));
+        let key = (kind == 2).then(|| KeyId(self.rng.random_range(0..ORDER_KEYS)));
         let tenant = self.rough.then_some(TenantId(job % 2));
-        let work =
-            Span::from_micros(self.chance.random_range(1_000..30_000) * if kind == 3 { 10 } else { 1 });
-        let (memory, expires) = (self.chance.random_range(8.0..200.0), millis(3_000));
+        let work = Span::from_micros(self.rng.random_range(1_000..30_000) * if kind == 3 { 10 } else { 1 });
+        let (memory, expires) = (self.rng.random_range(8.0..200.0), millis(3_000));
         self.router.job_arrived(
             self.now,
             JobId(job),
@@ -234,81 +245,83 @@
         if self.jobs_left > 0 {
             let burst = self.rough && job / 500 % 4 == 3;
             let rate = JOBS_PER_SECOND * if burst { 8.0 } else { 1.0 };
-            let gap = Span::from_secs(-self.chance.random::<f64>().max(1e-9).ln() / rate);
-            self.after(gap, Happens::Arrival);
+            let gap = Span::from_secs(-self.rng.random::<f64>().max(1e-9).ln() / rate);
+            self.after(gap, SimulationEvent::Arrival);
         }
         if self.rough && job.is_multiple_of(97) {
             self.router.job_closed(JobId(job));
         }
     }
 
-    fn ended(&mut self, job: usize, number: usize, outcome: usize) {
-        let Some(began) = self.out.remove(&(job, number)) else { return };
-        let (outcome, took) = (OUTCOMES[outcome], self.now.since(began));
-        let told =
-            (outcome == Outcome::Done).then(|| (took.mul_f64(0.9), self.chance.random_range(8.0..200.0)));
-        let over = outcome == Outcome::Done;
-        self.router.dispatch_ended(self.now, JobId(job), number, outcome, took, told, over);
+    fn dispatch_ends(&mut self, job: usize, number: usize, outcome: usize) {
+        let Some(dispatched_at) = self.open_dispatches.remove(&(job, number)) else { return };
+        let (outcome, took) = (OUTCOMES[outcome], self.now.since(dispatched_at));
+        let true_cost =
+            (outcome == Outcome::Done).then(|| (took.mul_f64(0.9), self.rng.random_range(8.0..200.0)));
+        let closes_job = outcome == Outcome::Done;
+        self.router.dispatch_ended(self.now, JobId(job), number, outcome, took, true_cost, closes_job);
     }
 
-    /// Something happens to one engine, and other routers say something of another.
+    /// Changes one engine at random, and delivers a peer's report and a transfer delay, each of an engine
+    /// drawn at random.
     fn change(&mut self) {
-        let engine = self.chance.random_range(0..self.engines.len());
-        let came_up = Some(self.now);
-        let machine = &mut self.engines[engine];
-        match self.chance.random_range(0..8) {
-            0 => machine.hangs = true,
-            1 => machine.slowness = 8.0,
-            2 => machine.failing = 0.3,
-            3 => self.list(engine, EngineStatus::Draining, None),
-            4 => self.list(engine, EngineStatus::Gone, None),
+        let engine = self.rng.random_range(0..self.engines.len());
+        let started_at = Some(self.now);
+        let model = &mut self.engines[engine];
+        match self.rng.random_range(0..8) {
+            0 => model.hangs = true,
+            1 => model.slowdown = 8.0,
+            2 => model.failure_share = 0.3,
+            3 => self.list_engine(engine, EngineStatus::Draining, None),
+            4 => self.list_engine(engine, EngineStatus::Gone, None),
             _ => {
-                *machine = Machine { slowness: 1.0, failing: 0.0, hangs: false };
-                self.list(engine, EngineStatus::Live, came_up);
+                *model = EngineModel { slowdown: 1.0, failure_share: 0.0, hangs: false };
+                self.list_engine(engine, EngineStatus::Live, started_at);
             }
         }
-        let doubted = EngineId(self.chance.random_range(0..self.engines.len()));
-        let of = self.chance.random_bool(0.5).then_some(TypeId(1));
-        let doubt = self.chance.random();
-        self.router.peer_reported(self.now, doubted, of, doubt);
-        let slow = EngineId(self.chance.random_range(0..self.engines.len()));
-        self.router.transfer_delay_measured(slow, Span::from_micros(self.chance.random_range(0..5_000)));
-        self.after(CHANGE, Happens::Change);
+        let reported_engine = EngineId(self.rng.random_range(0..self.engines.len()));
+        let reservation_type = self.rng.random_bool(0.5).then_some(TypeId(1));
+        let suspicion = self.rng.random();
+        self.router.peer_reported(self.now, reported_engine, reservation_type, suspicion);
+        let delayed_engine = EngineId(self.rng.random_range(0..self.engines.len()));
+        self.router
+            .transfer_delay_measured(delayed_engine, Span::from_micros(self.rng.random_range(0..5_000)));
+        self.after(CHANGE_INTERVAL, SimulationEvent::Change);
     }
 
-    fn pull(&mut self) {
+    fn execute_decisions(&mut self) {
         loop {
             let started = Instant::now();
             let decision = self.router.next_decision(self.now);
-            self.spent += started.elapsed();
+            self.module_time += started.elapsed();
             let Some(decision) = decision else { return };
-            self.note(&decision);
-            self.carry_out(decision);
+            self.add_to_checksum(&decision);
+            self.execute(decision);
         }
     }
 
-    /// Takes a decision into the checksum (FNV-1a over its words).
-    fn note(&mut self, decision: &Decision) {
+    /// Adds a decision to the checksum (FNV-1a over its debug output).
+    fn add_to_checksum(&mut self, decision: &Decision) {
         self.decisions += 1;
-        self.words.clear();
-        let _ = write!(self.words, "{:?} {decision:?}", self.now);
-        for byte in self.words.bytes() {
+        self.text.clear();
+        let _ = write!(self.text, "{:?} {decision:?}", self.now);
+        for byte in self.text.bytes() {
             self.checksum = (self.checksum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    fn carry_out(&mut self, decision: Decision) {
+    fn execute(&mut self, decision: Decision) {
         match decision {
             Decision::Dispatch { job, engine, timeout, .. } => self.dispatch(job.0, engine.0, timeout),
             Decision::CancelDispatch { job, number } => {
-                self.after(CONNECT, Happens::Ended { job: job.0, number, outcome: CANCELLED });
+                self.after(CONNECT_TIME, SimulationEvent::Ended { job: job.0, number, outcome: CANCELLED });
             }
             Decision::Probe { engine } => {
-                let well = !self.engines[engine.0].hangs;
+                let healthy = !self.engines[engine.0].hangs;
                 self.report(engine.0);
-                self.after(PROBE, Happens::Probed { engine: engine.0, well });
+                self.after(PROBE_TIME, SimulationEvent::Probed { engine: engine.0, healthy });
             }
-            Decision::Wake { after } => self.after(after, Happens::Wake),
+            Decision::Wake { after } => self.after(after, SimulationEvent::Wake),
             _ => {}
         }
     }
@@ -317,47 +330,47 @@
         let dispatches = self.dispatches.entry(job).or_default();
         let number = *dispatches;
         *dispatches += 1;
-        self.out.insert((job, number), self.now);
+        self.open_dispatches.insert((job, number), self.now);
         self.report(engine);
-        let machine = self.engines[engine];
-        let runs = Span::from_micros(self.chance.random_range(1_000..30_000)).mul_f64(machine.slowness);
-        let fails = machine.failing > 0.0 && self.chance.random_bool(machine.failing);
-        let failure = self.chance.random_range(1..OUTCOMES.len() - 1);
+        let model = self.engines[engine];
+        let run_time = Span::from_micros(self.rng.random_range(1_000..30_000)).mul_f64(model.slowdown);
+        let fails = model.failure_share > 0.0 && self.rng.random_bool(model.failure_share);
+        let failure = self.rng.random_range(1..OUTCOMES.len() - 1);
         let (span, outcome) = match () {
-            _ if machine.hangs => (timeout, 3),
-            _ if fails => (CONNECT, failure),
-            _ if runs > timeout => (timeout, 3),
-            _ => (runs, 0),
+            _ if model.hangs => (timeout, 3),
+            _ if fails => (CONNECT_TIME, failure),
+            _ if run_time > timeout => (timeout, 3),
+            _ => (run_time, 0),
         };
-        self.after(span, Happens::Ended { job, number, outcome });
-        if self.rough && !machine.hangs && job.is_multiple_of(5) {
+        self.after(span, SimulationEvent::Ended { job, number, outcome });
+        if self.rough && !model.hangs && job.is_multiple_of(5) {
             let progress = [
                 Progress::Fraction(0.5),
                 Progress::Spills(30.0),
                 Progress::WaitsForMemory,
                 Progress::WaitsForLoad,
             ];
-            let progress = progress[self.chance.random_range(0..progress.len())];
+            let progress = progress[self.rng.random_range(0..progress.len())];
             self.router.progress_reported(self.now, JobId(job), number, progress);
         }
     }
 
-    /// The load report that comes with an answer.
+    /// Delivers the load report that comes with an answer.
     fn report(&mut self, engine: usize) {
-        let active = Some(self.chance.random_range(0.0..8.0));
-        let (waiting, cpu) = (Some(self.chance.random_range(0.0..2.0)), Some(self.chance.random()));
+        let active = Some(self.rng.random_range(0.0..8.0));
+        let (waiting, cpu) = (Some(self.rng.random_range(0.0..2.0)), Some(self.rng.random()));
         self.router.load_reported(self.now, EngineId(engine), active, waiting, cpu, None);
     }
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let count = |place: usize| words.get(place).and_then(|word| word.parse::<usize>().ok());
+    let text: Vec<String> = std::env::args().skip(1).collect();
+    let count = |place: usize| text.get(place).and_then(|word| word.parse::<usize>().ok());
     let (engines, jobs, seed) = (count(0).unwrap_or(80), count(1).unwrap_or(8_000), count(2).unwrap_or(1));
-    let rough = words.get(3).is_some_and(|word| word == "rough");
+    let rough = text.get(3).is_some_and(|word| word == "rough");
     let mut pool = Pool::new(engines, jobs, seed as u64, rough);
     pool.run();
     let (decisions, checksum) = (pool.decisions, pool.checksum);
     println!("{engines} engines, {jobs} jobs, seed {seed}: {decisions} decisions, checksum {checksum:016x}");
-    println!("{:.1} us a job in the module", pool.spent.as_secs_f64() * 1e6 / jobs as f64);
+    println!("{:.1} us a job in the module", pool.module_time.as_secs_f64() * 1e6 / jobs as f64);
 }
--- a/crates/standins/examples/gossip_scale.rs
+++ b/crates/standins/examples/gossip_scale.rs
@@ -1,5 +1,6 @@
-//! What gossip costs and how fast it is, on the virtual network: `cargo run --release -p woadhook-standins --example
-//! gossip_scale -- 3 40 400`. All signatures are real; time is virtual, and only CPU figures are this machine's.
+//! Measures the cost and speed of gossip on the virtual network: `cargo run --release -p woadhook-standins
+//! --example gossip_scale -- 3 40 400`, where the arguments are numbers of instances. All signatures are
+//! real; time is virtual, so only the CPU figures depend on this machine.
 
 use std::time::Instant;
 
@@ -8,15 +9,15 @@
 use woadhook_standins::cluster::{Cluster, default_gossip_config, secs};
 use woadhook_standins::net::NetworkConditions;
 
-/// One instance in four is kept out of the figures, as churn ends and starts it.
-fn counted(node: usize) -> bool {
+/// Whether an instance is counted in the figures. One in four is not, as the churn ends and starts it.
+fn is_counted(node: usize) -> bool {
     node % 4 != 1
 }
 
-/// Sums over the instances that are counted: datagrams and bytes sent, datagrams received, signatures checked.
+/// Sums over the counted instances: datagrams and bytes sent, datagrams received, signatures checked.
 fn sums(cluster: &Cluster) -> [f64; 4] {
     let mut sums = [0.0; 4];
-    for (_, core) in cluster.running().filter(|(node, _)| counted(*node)) {
+    for (_, core) in cluster.running().filter(|(node, _)| is_counted(*node)) {
         let counts = core.counters();
         let parts = [counts.sent, counts.sent_bytes, counts.received, counts.signature_checks];
         sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part as f64);
@@ -24,20 +25,20 @@
     sums
 }
 
-/// For an instance and second: datagrams and bytes sent, datagrams received, signatures checked.
+/// Rates per instance and second: datagrams and bytes sent, datagrams received, signatures checked.
 fn rates(cluster: &mut Cluster, span: Span, mut each_second: impl FnMut(&mut Cluster, u64)) -> String {
     let before = sums(cluster);
-    let count = cluster.running().filter(|(node, _)| counted(*node)).count() as f64;
+    let count = cluster.running().filter(|(node, _)| is_counted(*node)).count() as f64;
     for second in 0..span.secs() as u64 {
         each_second(cluster, second);
         cluster.run_for(secs(1.0));
     }
     let after = sums(cluster);
-    let rate = |place: usize| (after[place] - before[place]).max(0.0) / count / span.secs();
+    let rate = |index: usize| (after[index] - before[index]).max(0.0) / count / span.secs();
     format!("{:.1} | {:.0} | {:.1} | {:.1}", rate(0), rate(1), rate(2), rate(3))
 }
 
-fn shown(span: Option<Span>) -> String {
+fn format_span(span: Option<Span>) -> String {
     span.map_or("not in time".to_owned(), |span| format!("{:.2} s", span.secs()))
 }
 
@@ -47,7 +48,7 @@
 }
 
 fn main() {
-    for count in std::env::args().skip(1).filter_map(|word| word.parse::<usize>().ok()) {
+    for count in std::env::args().skip(1).filter_map(|argument| argument.parse::<usize>().ok()) {
         let calm_for = if count > 1000 { secs(4.0) } else { secs(20.0) };
         let empty = memory();
         let mut cluster = Cluster::new(1, count, NetworkConditions::reliable(), default_gossip_config());
@@ -57,7 +58,7 @@
             "## {count} instances\nheld: {:.0} KB an instance",
             (memory() - empty) / count as f64 / 1024.0
         );
-        // Until the cards of the start have been told.
+        // Waits until the member records of the start have spread.
         cluster.run_for(if count > 1000 { secs(4.0) } else { secs(20.0) });
         println!("a second and instance: datagrams sent | bytes sent | datagrams received | checks");
         println!("calm: {}", rates(&mut cluster, calm_for, |_, _| ()));
@@ -65,39 +66,39 @@
         let before = sums(&cluster);
         cluster.run_for(secs(1.0));
         let received = (sums(&cluster)[2] - before[2]) * count as f64
-            / (0..count).filter(|node| counted(*node)).count() as f64;
+            / (0..count).filter(|node| is_counted(*node)).count() as f64;
         println!(
-            "CPU a datagram received, sending and network and all: {:.0} us",
+            "CPU per datagram received, including sending and the virtual network: {:.0} us",
             started.elapsed().as_secs_f64() * 1e6 / received.max(1.0)
         );
         cluster.with_core(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
-        let heard = |cluster: &Cluster| {
+        let informed = |cluster: &Cluster| {
             (0..count).filter(|node| *node != 1 && cluster.suspicion(*node, "e-2") > 0.0).count()
         };
         println!(
-            "a word reaches half: {}",
-            shown(cluster.run_until(secs(10.0), |cluster| heard(cluster) * 2 >= count - 1))
+            "a report reaches half: {}",
+            format_span(cluster.run_until(secs(10.0), |cluster| informed(cluster) * 2 >= count - 1))
         );
         println!(
             "and all, after that: {}",
-            shown(cluster.run_until(secs(20.0), |cluster| heard(cluster) == count - 1))
+            format_span(cluster.run_until(secs(20.0), |cluster| informed(cluster) == count - 1))
         );
         cluster.with_core(1, |now, core| core.engine_judged(now, "e-2", EngineCondition::Well));
         cluster.kill(2);
-        let knows =
+        let aware_of_crash =
             |cluster: &Cluster| cluster.running().filter(|(_, core)| core.live_members() < count).count();
         println!(
             "a crashed instance is gone at half: {}",
-            shown(cluster.run_until(secs(60.0), |cluster| knows(cluster) * 2 >= count - 1))
+            format_span(cluster.run_until(secs(60.0), |cluster| aware_of_crash(cluster) * 2 >= count - 1))
         );
         println!(
             "and at all, after that: {}",
-            shown(cluster.run_until(secs(60.0), |cluster| knows(cluster) == count - 1))
+            format_span(cluster.run_until(secs(60.0), |cluster| aware_of_crash(cluster) == count - 1))
         );
         cluster.start(2);
         println!(
             "and back at all: {}",
-            shown(cluster.run_until(secs(120.0), |cluster| {
+            format_span(cluster.run_until(secs(120.0), |cluster| {
                 cluster.running().all(|(_, core)| core.live_members() == count)
             }))
         );
@@ -112,17 +113,17 @@
         if count <= 400 {
             let _ = cluster.run_until(secs(60.0), Cluster::views_agree);
             for node in 0..count / 2 {
-                let place = cluster.nodes[node].address;
-                cluster.net.set_partition(place, 1);
+                let address = cluster.nodes[node].address;
+                cluster.net.set_partition(address, 1);
             }
             cluster.run_for(secs(20.0));
             cluster.net.heal();
             println!(
                 "halves agree again after: {}",
-                shown(cluster.run_until(secs(300.0), Cluster::views_agree))
+                format_span(cluster.run_until(secs(300.0), Cluster::views_agree))
             );
         }
-        let most = cluster.running().map(|(_, core)| core.counters().sends_over_budget).max();
-        println!("most sends held back by the budget at one instance: {}", most.unwrap_or(0));
+        let max_delayed = cluster.running().map(|(_, core)| core.counters().sends_over_budget).max();
+        println!("maximum of sends delayed by the budget at one instance: {}", max_delayed.unwrap_or(0));
     }
 }
--- a/crates/standins/examples/hearsay.rs
+++ b/crates/standins/examples/hearsay.rs
@@ -1,5 +1,6 @@
-//! What hearsay does for a router with little traffic, and what a liar costs, in the virtual world: `cargo run --release
-//! -p woadhook-standins --example hearsay`. One command, same figures each time.
+//! Measures, in the simulation, how reports of peers help a router with little traffic, and what false
+//! reports cost: `cargo run --release -p woadhook-standins --example hearsay`. Each run gives the same
+//! figures.
 
 use woadhook::Span;
 use woadhook_gossip::EngineCondition;
@@ -7,81 +8,85 @@
 use woadhook_standins::simulation::{EngineState, Simulation};
 
 const SEEDS: u64 = 40;
-const FATES: [EngineState; 2] = [EngineState::Silent, EngineState::Dead];
+const ENGINE_STATES: [EngineState; 2] = [EngineState::Silent, EngineState::Dead];
 
-/// Over all seeds: dispatches of the quiet router to the engine that went bad, its jobs that were not done, and its mean
-/// and longest time of done jobs in milliseconds, in the ten seconds after.
-fn quiet(rate: f64, fate: EngineState, talks: bool) -> (usize, usize, f64, f64) {
-    let (mut sends, mut lost, mut mean, mut longest) = (0, 0, 0.0, 0.0_f64);
+/// Over all seeds, for the ten seconds after an engine fails: the dispatches of the router with little
+/// traffic to that engine, its jobs that were not done, and the mean and longest time of its done jobs in
+/// milliseconds.
+fn measure_quiet_router(rate: f64, state: EngineState, gossip: bool) -> (usize, usize, f64, f64) {
+    let (mut dispatches, mut not_done, mut mean, mut longest) = (0, 0, 0.0, 0.0_f64);
     for seed in 0..SEEDS {
-        let mut world = Simulation::new(seed, 6, &[42.0, 42.0, rate], talks);
+        let mut world = Simulation::new(seed, 6, &[42.0, 42.0, rate], gossip);
         world.load_interval = 4;
         world.run_for(secs(8.0));
-        let at = world.now();
-        world.set_engine_state_after(Span::ZERO, 2, fate);
+        let changed_at = world.now();
+        world.set_engine_state_after(Span::ZERO, 2, state);
         world.run_for(secs(16.0));
         assert_eq!(world.violations(), Vec::<String>::new());
-        sends += world.dispatch_count(2, 2, at, at + secs(10.0));
-        let [_, throttled, cancelled, _] = world.job_outcomes(2, at, at + secs(10.0));
-        lost += throttled + cancelled;
-        let (usual, most) = world.answer_times(2, at, at + secs(10.0));
-        mean += usual.secs() * 1e3 / SEEDS as f64;
-        longest = longest.max(most.secs() * 1e3);
+        dispatches += world.dispatch_count(2, 2, changed_at, changed_at + secs(10.0));
+        let [_, throttled, cancelled, _] = world.job_outcomes(2, changed_at, changed_at + secs(10.0));
+        not_done += throttled + cancelled;
+        let (mean_time, longest_time) = world.answer_times(2, changed_at, changed_at + secs(10.0));
+        mean += mean_time.secs() * 1e3 / SEEDS as f64;
+        longest = longest.max(longest_time.secs() * 1e3);
     }
-    (sends, lost, mean, longest)
+    (dispatches, not_done, mean, longest)
 }
 
-/// The longest that any engine stood idle in ten seconds, with so many liars among so many others, and jobs not done.
-fn idle(liars: usize, flapping: bool) -> (f64, usize) {
-    let (mut worst, mut lost) = (0.0_f64, 0);
+/// The longest time in seconds in which an engine got no dispatch, within ten seconds in which
+/// `false_reporters` members send false reports to 8 others, and the number of jobs that were not done.
+fn measure_idle_time(false_reporters: usize, flapping: bool) -> (f64, usize) {
+    let (mut longest_idle, mut not_done) = (0.0_f64, 0);
     for seed in 0..10 {
         let mut rates = vec![11.0; 8];
-        rates.extend(vec![0.0; liars]);
+        rates.extend(vec![0.0; false_reporters]);
         let mut world = Simulation::new(seed, 6, &rates, true);
         world.run_for(secs(5.0));
         let from = world.now();
-        for turn in 0..20 {
-            for liar in 8..8 + liars {
+        for step in 0..20 {
+            for reporter in 8..8 + false_reporters {
                 for engine in 0..6 {
-                    let seen = if flapping && turn % 2 == 1 {
+                    let condition = if flapping && step % 2 == 1 {
                         EngineCondition::Well
                     } else {
                         EngineCondition::Silent
                     };
-                    world
-                        .cluster
-                        .with_core(liar, |now, core| core.engine_judged(now, &format!("s-{engine}"), seen));
+                    world.cluster.with_core(reporter, |now, core| {
+                        core.engine_judged(now, &format!("s-{engine}"), condition)
+                    });
                 }
             }
             world.run_for(secs(0.5));
         }
         assert_eq!(world.violations(), Vec::<String>::new());
         for engine in 0..6 {
-            worst = worst.max(world.longest_idle(engine, from, world.now()).secs());
+            longest_idle = longest_idle.max(world.longest_idle(engine, from, world.now()).secs());
         }
-        lost += (0..8)
+        not_done += (0..8)
             .map(|router| world.job_outcomes(router, from, world.now()))
-            .map(|[_, t, c, _]| t + c)
+            .map(|[_, throttled, cancelled, _]| throttled + cancelled)
             .sum::<usize>();
     }
-    (worst, lost)
+    (longest_idle, not_done)
 }
 
 fn main() {
     println!(
-        "fate | quiet router's jobs a second | gossip | sends to the bad engine | not done | mean ms | longest ms"
+        "engine state | quiet router's jobs a second | gossip | dispatches to that engine | not done | mean ms | longest ms"
     );
-    for fate in FATES {
+    for state in ENGINE_STATES {
         for rate in [10.0, 3.0, 1.0, 0.3] {
-            for talks in [false, true] {
-                let (sends, lost, mean, longest) = quiet(rate, fate, talks);
-                println!("{fate:?} | {rate} | {talks} | {sends} | {lost} | {mean:.0} | {longest:.0}");
+            for gossip in [false, true] {
+                let (dispatches, not_done, mean, longest) = measure_quiet_router(rate, state, gossip);
+                println!(
+                    "{state:?} | {rate} | {gossip} | {dispatches} | {not_done} | {mean:.0} | {longest:.0}"
+                );
             }
         }
     }
-    println!("liars among 8 others | on and off | longest idle of any engine, s | jobs not done");
-    for (liars, flapping) in [(0, false), (1, false), (1, true), (4, false), (4, true)] {
-        let (worst, lost) = idle(liars, flapping);
-        println!("{liars} | {flapping} | {worst:.2} | {lost}");
+    println!("false reporters among 8 others | on and off | longest idle of any engine, s | jobs not done");
+    for (false_reporters, flapping) in [(0, false), (1, false), (1, true), (4, false), (4, true)] {
+        let (longest_idle, not_done) = measure_idle_time(false_reporters, flapping);
+        println!("{false_reporters} | {flapping} | {longest_idle:.2} | {not_done}");
     }
 }
--- a/crates/standins/examples/listed.rs
+++ b/crates/standins/examples/listed.rs
@@ -1,6 +1,7 @@
-//! What listed engines cost one router: memory at rest, processor time a job and latencies, for one or more builds of the
-//! program in turns, on loopback with engines that answer at once: `cargo run --release -p woadhook-standins --example
-//! listed -- ROUNDS JOBS RATE COUNTS PROGRAM [OLDER]`, where COUNTS are numbers of engines as in `2,80,128`.
+//! Measures what the number of listed engines costs one router: memory at rest, processor time per job and
+//! latencies, for one or more builds of the program in turns, on loopback with engines that answer at once:
+//! `cargo run --release -p woadhook-standins --example listed -- ROUNDS JOBS RATE COUNTS PROGRAM [OLDER]`,
+//! where COUNTS are numbers of engines such as `2,80,128`.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -18,12 +19,14 @@
 
 const CLIENTS: usize = 8;
 const DESCRIPTORS: usize = 4_096;
-/// From the start of the program to the reading of its memory at rest, and from there to the first job.
-const SETTLED: Duration = Duration::from_millis(1_500);
-const ANSWER: &str =
+/// The wait between the start of the program and the reading of its memory at rest, which the first job
+/// follows.
+const SETTLE_SPAN: Duration = Duration::from_millis(1_500);
+const ENGINE_RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nX-Stats: waiting:0;cpu:0.1\r\nContent-Length: 6\r\n\r\n1\t2\t3\n";
 
-/// One engine behind all addresses of 127.0.0.0/8 at this port, each connection a task of one thread.
+/// Starts one engine that is reached at all addresses of 127.0.0.0/8 on the returned port. One thread runs
+/// each connection as a task.
 fn serve_engines() -> u16 {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a free port");
     let port = listener.local_addr().expect("an address").port();
@@ -39,12 +42,12 @@
     port
 }
 
-/// Answers each call on a connection; a call comes whole, as it is short.
+/// Answers each call on a connection. A call is short, so one read returns all of it.
 async fn serve(mut stream: Async<TcpStream>) -> io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let mut buffer = [0; 2_048];
     while stream.read(&mut buffer).await? > 0 {
-        stream.write_all(ANSWER.as_bytes()).await?;
+        stream.write_all(ENGINE_RESPONSE.as_bytes()).await?;
     }
     Ok(())
 }
@@ -60,36 +63,37 @@
 }
 
 impl Program {
-    fn start(path: &str, told: &str) -> Self {
-        let free = TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a free port");
-        let config = std::env::temp_dir().join(format!("listed-{}.json", free.port()));
-        std::fs::write(&config, told).expect("a configuration");
+    fn start(path: &str, config_text: &str) -> Self {
+        let listener_address =
+            TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
+        let config = std::env::temp_dir().join(format!("listed-{}.json", listener_address.port()));
+        std::fs::write(&config, config_text).expect("a configuration");
         let child = Command::new(path)
             .env("LB_CONFIG", &config)
-            .env("LB_LISTEN", free.to_string())
+            .env("LB_LISTEN", listener_address.to_string())
             .stderr(Stdio::null())
             .spawn()
             .expect("the program");
-        let until = Instant::now() + Duration::from_secs(10);
-        while TcpStream::connect(free).is_err() && Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while TcpStream::connect(listener_address).is_err() && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(20));
         }
-        thread::sleep(SETTLED);
+        thread::sleep(SETTLE_SPAN);
         let _ = std::fs::remove_file(config);
-        Self { child, address: free }
+        Self { child, address: listener_address }
     }
 
-    /// Seconds of the processor so far.
-    fn processor(&self) -> f64 {
+    /// The processor time so far, in seconds.
+    fn cpu_secs(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks =
-            |place: usize| fields.get(place).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+            |index: usize| fields.get(index).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
         (ticks(11) + ticks(12)) / 100.0
     }
 
-    /// MB resident.
-    fn memory(&self) -> f64 {
+    /// Resident memory in MB.
+    fn memory_mb(&self) -> f64 {
         let statm = std::fs::read_to_string(format!("/proc/{}/statm", self.child.id())).unwrap_or_default();
         statm.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0 / 1e6
     }
@@ -102,31 +106,33 @@
     }
 }
 
-/// One client's latencies in microseconds, by the time at which each job was due; how many of its jobs failed.
-fn client(address: SocketAddr, number: usize, jobs: u32, rate: f64) -> (Vec<u64>, usize) {
+/// Runs one client. Returns its latencies in microseconds, counted from when each job was due, and the number
+/// of failed jobs.
+fn run_client(address: SocketAddr, number: usize, jobs: u32, rate: f64) -> (Vec<u64>, usize) {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     stream.set_nodelay(true).expect("no delay");
     let mut reader = Client(stream.try_clone().expect("a connection"));
     let mut writer = stream;
-    let asked: Arc<Mutex<HashMap<u32, Instant>>> = Arc::default();
-    let known = asked.clone();
+    let due_times: Arc<Mutex<HashMap<u32, Instant>>> = Arc::default();
+    let shared_due_times = due_times.clone();
     let reading = thread::spawn(move || {
         let (mut latencies, mut failed) = (Vec::new(), 0);
         for _ in 0..jobs {
             let (number, result) = reader.receive();
-            let due = known.lock().expect("no panic").remove(&number).expect("a job that was asked");
+            let due =
+                shared_due_times.lock().expect("no panic").remove(&number).expect("a job that was sent");
             latencies.push(due.elapsed().as_micros() as u64);
             failed += usize::from(result.is_err());
         }
         (latencies, failed)
     });
-    let shift = number as f64 / CLIENTS as f64;
-    let started = Instant::now() + Duration::from_secs_f64(shift / rate);
+    let phase = number as f64 / CLIENTS as f64;
+    let started = Instant::now() + Duration::from_secs_f64(phase / rate);
     for job in 1..=jobs {
         let due = started + Duration::from_secs_f64(f64::from(job) / rate);
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        asked.lock().expect("no panic").insert(job, due);
+        due_times.lock().expect("no panic").insert(job, due);
         let id = format!("{number:08x}{job:08x}");
         let message =
             Client::encode_job(job, "look", &id, 10_000, &format!("select 1 from sales_{}.x", job % 64));
@@ -135,17 +141,18 @@
     reading.join().expect("answers")
 }
 
-/// MB at rest, CPU us a job, cores in use, p50 and p99 in ms, MB behind the jobs, failed jobs.
+/// Runs one measurement: MB at rest, CPU us per job, cores in use, p50 and p99 in ms, MB after the jobs,
+/// failed jobs.
 fn run(path: &str, engines: usize, jobs: usize, rate: f64) -> [f64; 7] {
     let engines = addresses(serve_engines(), engines);
     let program = Program::start(
         path,
         &router_config(&engines, DiscoveryEvents::default().serve().address, DESCRIPTORS),
     );
-    let (rest, before, started) = (program.memory(), program.processor(), Instant::now());
+    let (memory_at_rest, before, started) = (program.memory_mb(), program.cpu_secs(), Instant::now());
     let (address, own_jobs, own_rate) = (program.address, (jobs / CLIENTS) as u32, rate / CLIENTS as f64);
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|number| thread::spawn(move || client(address, number, own_jobs, own_rate)))
+        .map(|number| thread::spawn(move || run_client(address, number, own_jobs, own_rate)))
         .collect();
     let mut histogram = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
     let mut failed = 0;
@@ -154,38 +161,38 @@
         latencies.into_iter().for_each(|took| histogram.saturating_record(took));
         failed += own_failed;
     }
-    let (spent, passed) = (program.processor() - before, started.elapsed().as_secs_f64());
+    let (cpu_spent, elapsed) = (program.cpu_secs() - before, started.elapsed().as_secs_f64());
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    let a_job = spent * 1e6 / histogram.len() as f64;
-    [rest, a_job, spent / passed, at(0.5), at(0.99), program.memory(), failed as f64]
+    let cpu_per_job = cpu_spent * 1e6 / histogram.len() as f64;
+    [memory_at_rest, cpu_per_job, cpu_spent / elapsed, at(0.5), at(0.99), program.memory_mb(), failed as f64]
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let [rounds, jobs, rate, counts, programs @ ..] = words.as_slice() else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [rounds, jobs, rate, counts, programs @ ..] = arguments.as_slice() else {
         panic!("listed ROUNDS JOBS RATE COUNTS PROGRAM [OLDER]");
     };
-    let rounds: usize = rounds.parse().expect("how often");
-    let (jobs, rate) = (jobs.parse().expect("how many jobs"), rate.parse().expect("jobs a second"));
+    let rounds: usize = rounds.parse().expect("a number of rounds");
+    let (jobs, rate) = (jobs.parse().expect("a number of jobs"), rate.parse().expect("jobs a second"));
     let counts: Vec<usize> =
-        counts.split(',').map(|count| count.parse().expect("how many engines")).collect();
+        counts.split(',').map(|count| count.parse().expect("a number of engines")).collect();
     println!(
         "engines | program | MB at rest | CPU us a job | cores | p50 ms | p99 ms | MB after | failed (medians of {rounds})"
     );
     for count in counts {
-        let mut all = vec![Vec::new(); programs.len()];
+        let mut runs_by_program = vec![Vec::new(); programs.len()];
         for _ in 0..rounds {
-            for (runs, path) in all.iter_mut().zip(programs) {
+            for (runs, path) in runs_by_program.iter_mut().zip(programs) {
                 runs.push(run(path, count, jobs, rate));
             }
         }
-        for (runs, path) in all.iter().zip(programs) {
-            let median = |place: usize| {
-                let mut each: Vec<f64> = runs.iter().map(|figures| figures[place]).collect();
+        for (runs, path) in runs_by_program.iter().zip(programs) {
+            let median = |index: usize| {
+                let mut each: Vec<f64> = runs.iter().map(|figures| figures[index]).collect();
                 each.sort_by(f64::total_cmp);
                 each[each.len() / 2]
             };
-            let shown: Vec<String> = (0..7).map(|place| format!("{:.2}", median(place))).collect();
+            let shown: Vec<String> = (0..7).map(|index| format!("{:.2}", median(index))).collect();
             println!("{count} | {path} | {}", shown.join(" | "));
         }
     }
--- a/crates/standins/examples/silent_engine.rs
+++ b/crates/standins/examples/silent_engine.rs
@@ -1,5 +1,6 @@
-//! One of six engines goes silent before three real routers on loopback, one of which carries a tenth of the traffic, with
-//! gossip and without: `cargo run --release -p woadhook-standins --example silent_engine -- 3` (runs of each kind).
+//! Measures how three real routers on loopback, one of which gets a tenth of the traffic, react when one of
+//! six engines stops answering, with gossip and without: `cargo run --release -p woadhook-standins --example
+//! silent_engine -- 3`, where 3 is the number of runs of each kind.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -21,14 +22,14 @@
 
 const BEFORE: Duration = Duration::from_secs(5);
 const AFTER: Duration = Duration::from_secs(12);
-/// Jobs a second of each router: 93 in all.
+/// Jobs a second at each router, 93 in total.
 const RATES: [f64; 3] = [42.0, 42.0, 9.0];
 
 fn now() -> Moment {
     Moment::from_micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
-fn talk(number: u64, socket: UdpSocket, seeds: Vec<SocketAddr>) -> GossipSetup {
+fn gossip_setup(number: u64, socket: UdpSocket, seeds: Vec<SocketAddr>) -> GossipSetup {
     let secret = secret_key(number);
     let until = now() + Span::from_secs(3600.0);
     let name = format!("n{number}");
@@ -46,40 +47,41 @@
     }
 }
 
-/// Asks at a rate; gives how long each job took, or that it failed, by when it was asked.
+/// Sends jobs at a rate. Returns for each job the time at which it was sent, in seconds since the start, and
+/// how long it took, or `None` if it failed.
 fn load(client: Client, rate: f64, span: Duration, started: Instant) -> Vec<(f64, Option<f64>)> {
     let mut reader = Client(client.0.try_clone().expect("a connection"));
     let mut writer = client;
-    let asked: Arc<Mutex<HashMap<u32, Instant>>> = Arc::default();
-    let most = (rate * span.as_secs_f64()) as u32;
-    let known = asked.clone();
+    let sent_at: Arc<Mutex<HashMap<u32, Instant>>> = Arc::default();
+    let job_count = (rate * span.as_secs_f64()) as u32;
+    let sent_by_number = sent_at.clone();
     let reading = thread::spawn(move || {
-        (0..most)
+        (0..job_count)
             .map(|_| {
                 let (number, result) = reader.receive();
-                let at = known.lock().expect("no panic")[&number];
+                let at = sent_by_number.lock().expect("no panic")[&number];
                 (at.duration_since(started).as_secs_f64(), result.ok().map(|_| at.elapsed().as_secs_f64()))
             })
             .collect::<Vec<_>>()
     });
-    for number in 1..=most {
+    for number in 1..=job_count {
         let due = started + Duration::from_secs_f64(f64::from(number) / rate);
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        asked.lock().expect("no panic").insert(number, Instant::now());
+        sent_at.lock().expect("no panic").insert(number, Instant::now());
         writer.send_job(number, "look", 4_000);
     }
     reading.join().expect("answers")
 }
 
-fn run(talks: bool) -> (f64, Vec<(usize, usize, f64)>) {
+fn run(gossip: bool) -> (f64, Vec<(usize, usize, f64)>) {
     let silent = Arc::new(AtomicBool::new(false));
-    let late_sends = Arc::new(AtomicUsize::new(0));
+    let late_dispatches = Arc::new(AtomicUsize::new(0));
     let engines: Vec<StandinServer> = (0..6)
         .map(|number| {
-            let (silent, late_sends) = (silent.clone(), late_sends.clone());
+            let (silent, late_dispatches) = (silent.clone(), late_dispatches.clone());
             StandinServer::start(move |call| {
                 if number == 2 && silent.load(Ordering::Relaxed) {
-                    late_sends.fetch_add(usize::from(call.line.starts_with("POST")), Ordering::Relaxed);
+                    late_dispatches.fetch_add(usize::from(call.line.starts_with("POST")), Ordering::Relaxed);
                     return Response::NoResponse;
                 }
                 result_page(call, &["a\tb\tc\n"])
@@ -94,10 +96,13 @@
         .into_iter()
         .enumerate()
         .map(|(number, socket)| {
-            let given = router_config(&addresses, DiscoveryEvents::default().serve().address, 1024)
+            let config = router_config(&addresses, DiscoveryEvents::default().serve().address, 1024)
                 .replace("\"replicasOfMe\":1", "\"replicasOfMe\":3")
                 .replace("\"myNumber\":0", &format!("\"myNumber\":{number}"));
-            RouterThread::start_with_gossip(&given, talks.then(|| talk(number as u64, socket, seeds.clone())))
+            RouterThread::start_with_gossip(
+                &config,
+                gossip.then(|| gossip_setup(number as u64, socket, seeds.clone())),
+            )
         })
         .collect();
     let started = Instant::now();
@@ -111,10 +116,10 @@
         .collect();
     thread::sleep(BEFORE.saturating_sub(started.elapsed()));
     silent.store(true, Ordering::Relaxed);
-    let done: Vec<Vec<(f64, Option<f64>)>> =
+    let results: Vec<Vec<(f64, Option<f64>)>> =
         loads.into_iter().map(|load| load.join().expect("a load")).collect();
     let after = BEFORE.as_secs_f64();
-    let tally = |jobs: &Vec<(f64, Option<f64>)>| {
+    let summarize = |jobs: &Vec<(f64, Option<f64>)>| {
         let after: Vec<_> = jobs.iter().filter(|(at, _)| *at >= after).collect();
         let lost = after.iter().filter(|(_, took)| took.is_none()).count();
         let slow: Vec<f64> =
@@ -122,20 +127,20 @@
         let last = slow.iter().fold(0.0, |last: f64, at| last.max(at - BEFORE.as_secs_f64()));
         (lost, slow.len(), last)
     };
-    (late_sends.load(Ordering::Relaxed) as f64, done.iter().map(tally).collect())
+    (late_dispatches.load(Ordering::Relaxed) as f64, results.iter().map(summarize).collect())
 }
 
 fn main() {
     let runs: usize = std::env::args().nth(1).and_then(|word| word.parse().ok()).unwrap_or(3);
     println!(
-        "gossip | sends into silence | router: lost, slow (over 0.5 s or lost), last slow job asked after (s)"
+        "gossip | dispatches to the silent engine | router: lost, slow (over 0.5 s or lost), last slow job sent after (s)"
     );
     for _ in 0..runs {
-        for talks in [false, true] {
-            let (sends, routers) = run(talks);
+        for gossip in [false, true] {
+            let (dispatches, routers) = run(gossip);
             let each: Vec<String> =
                 routers.iter().map(|(lost, slow, last)| format!("{lost}, {slow}, {last:.2}")).collect();
-            println!("{talks} | {sends} | {}", each.join(" | "));
+            println!("{gossip} | {dispatches} | {}", each.join(" | "));
         }
     }
 }
--- a/crates/standins/examples/wheel.rs
+++ b/crates/standins/examples/wheel.rs
@@ -1,5 +1,6 @@
-//! What deadlines cost: the wheel, a binary heap with dead entries, an ordered map (as the executor's reactor keeps its
-//! timers), and the executor's own timers. `cargo run --release -p woadhook-standins --example wheel`
+//! Measures the cost of timers: in the timer wheel, in a binary heap that keeps rescheduled entries until
+//! they expire, in an ordered map (as the executor's reactor keeps its timers), and as the executor's own
+//! timers: `cargo run --release -p woadhook-standins --example wheel`
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
@@ -12,37 +13,40 @@
 use woadhook::{Moment, Span};
 use woadhook_flow_control::timer_wheel::TimerWheel;
 
-/// Nanoseconds each of starting so many, moving each once (as a connection does with each read), and ending all.
+/// Nanoseconds for each timer: of inserting it, of rescheduling it once (as a connection does with each
+/// read), and of removing it as expired, or dropping it.
 type Figures = [f64; 3];
-type Run = fn(&[u64], &[u64]) -> Figures;
+type Benchmark = fn(&[u64], &[u64]) -> Figures;
 
 fn deadlines(count: usize, seed: u64) -> Vec<u64> {
-    let mut chance = Pcg32::seed_from_u64(seed);
-    (0..count).map(|_| chance.random_range(1_000..60_000_000)).collect()
+    let mut rng = Pcg32::seed_from_u64(seed);
+    (0..count).map(|_| rng.random_range(1_000..60_000_000)).collect()
 }
 
-fn each(count: usize, work: impl FnOnce()) -> f64 {
+fn nanos_each(count: usize, work: impl FnOnce()) -> f64 {
     let started = Instant::now();
     work();
     started.elapsed().as_nanos() as f64 / count as f64
 }
 
-fn at(micros: u64) -> Moment {
+fn moment(micros: u64) -> Moment {
     Moment::from_micros(micros)
 }
 
 fn wheel(first: &[u64], second: &[u64]) -> Figures {
-    let (count, mut wheel) = (first.len(), TimerWheel::new(at(0), Span::from_micros(1_000)));
+    let (count, mut wheel) = (first.len(), TimerWheel::new(moment(0), Span::from_micros(1_000)));
     let mut keys = Vec::with_capacity(count);
-    let start = each(count, || keys.extend(first.iter().map(|due| wheel.insert(at(*due), *due))));
-    let moved = each(count, || {
-        for (key, due) in keys.iter().zip(second) {
-            black_box(wheel.reschedule(*key, at(*due)));
+    let start = nanos_each(count, || {
+        keys.extend(first.iter().map(|deadline| wheel.insert(moment(*deadline), *deadline)))
+    });
+    let moved = nanos_each(count, || {
+        for (key, deadline) in keys.iter().zip(second) {
+            black_box(wheel.reschedule(*key, moment(*deadline)));
         }
     });
-    let end = each(count, || {
-        for now in (0..61_000).map(|millis| at(millis * 1_000)) {
-            while wheel.next_wake().is_some_and(|due| due <= now) {
+    let end = nanos_each(count, || {
+        for now in (0..61_000).map(|millis| moment(millis * 1_000)) {
+            while wheel.next_wake().is_some_and(|deadline| deadline <= now) {
                 black_box(wheel.pop_expired(now, usize::MAX));
             }
         }
@@ -52,17 +56,19 @@
 }
 
 fn heap(first: &[u64], second: &[u64]) -> Figures {
-    let (count, mut heap, mut dead) = (first.len(), BinaryHeap::new(), HashSet::new());
-    let start = each(count, || heap.extend(first.iter().enumerate().map(|(id, due)| Reverse((*due, id)))));
-    let moved = each(count, || {
-        for (id, due) in second.iter().enumerate() {
-            dead.insert((first[id], id));
-            heap.push(Reverse((*due, id)));
+    let (count, mut heap, mut stale) = (first.len(), BinaryHeap::new(), HashSet::new());
+    let start = nanos_each(count, || {
+        heap.extend(first.iter().enumerate().map(|(id, deadline)| Reverse((*deadline, id))))
+    });
+    let moved = nanos_each(count, || {
+        for (id, deadline) in second.iter().enumerate() {
+            stale.insert((first[id], id));
+            heap.push(Reverse((*deadline, id)));
         }
     });
-    let end = each(count, || {
+    let end = nanos_each(count, || {
         while let Some(Reverse(top)) = heap.pop() {
-            black_box(dead.remove(&top));
+            black_box(stale.remove(&top));
         }
     });
     [start, moved, end]
@@ -70,14 +76,16 @@
 
 fn map(first: &[u64], second: &[u64]) -> Figures {
     let (count, mut map) = (first.len(), BTreeMap::new());
-    let start = each(count, || map.extend(first.iter().enumerate().map(|(id, due)| ((*due, id), id))));
-    let moved = each(count, || {
-        for (id, due) in second.iter().enumerate() {
+    let start = nanos_each(count, || {
+        map.extend(first.iter().enumerate().map(|(id, deadline)| ((*deadline, id), id)))
+    });
+    let moved = nanos_each(count, || {
+        for (id, deadline) in second.iter().enumerate() {
             map.remove(&(first[id], id));
-            map.insert((*due, id), id);
+            map.insert((*deadline, id), id);
         }
     });
-    let end = each(count, || while black_box(map.pop_first()).is_some() {});
+    let end = nanos_each(count, || while black_box(map.pop_first()).is_some() {});
     [start, moved, end]
 }
 
@@ -88,37 +96,37 @@
     let poll = |timer: &mut Timer, context: &mut std::task::Context<'_>| {
         let _ = Future::poll(std::pin::Pin::new(timer), context);
     };
-    let start = each(count, || {
-        for due in first {
-            // Far enough ahead that none ends while it is measured.
-            let mut timer = Timer::after(Duration::from_micros(600_000_000 + due));
+    let start = nanos_each(count, || {
+        for deadline in first {
+            // The deadlines are far enough ahead that no timer expires during the measurement.
+            let mut timer = Timer::after(Duration::from_micros(600_000_000 + deadline));
             poll(&mut timer, &mut context);
             timers.push(timer);
         }
     });
-    let moved = each(count, || {
-        for (timer, due) in timers.iter_mut().zip(second) {
-            timer.set_after(Duration::from_micros(600_000_000 + due));
+    let moved = nanos_each(count, || {
+        for (timer, deadline) in timers.iter_mut().zip(second) {
+            timer.set_after(Duration::from_micros(600_000_000 + deadline));
             poll(timer, &mut context);
         }
     });
-    let end = each(count, || timers.clear());
+    let end = nanos_each(count, || timers.clear());
     [start, moved, end]
 }
 
 fn main() {
     println!("timers | what | start ns | move ns | end ns (median of 5)");
     for count in [1_000, 10_000, 100_000, 1_000_000] {
-        let kinds: [(&str, Run); 4] =
+        let implementations: [(&str, Benchmark); 4] =
             [("wheel", wheel), ("binary heap", heap), ("ordered map", map), ("executor's", executor)];
-        for (name, run) in kinds {
+        for (name, benchmark) in implementations {
             let (first, second) = (deadlines(count, 1), deadlines(count, 2));
-            let mut runs: Vec<Figures> = (0..5).map(|_| run(&first, &second)).collect();
-            let median = |place: usize, runs: &mut Vec<Figures>| {
-                runs.sort_by(|a, b| a[place].total_cmp(&b[place]));
-                runs[2][place]
+            let mut runs: Vec<Figures> = (0..5).map(|_| benchmark(&first, &second)).collect();
+            let median = |index: usize, runs: &mut Vec<Figures>| {
+                runs.sort_by(|a, b| a[index].total_cmp(&b[index]));
+                runs[2][index]
             };
-            let [start, moved, end] = [0, 1, 2].map(|place| median(place, &mut runs));
+            let [start, moved, end] = [0, 1, 2].map(|index| median(index, &mut runs));
             println!("{count} | {name} | {start:.0} | {moved:.0} | {end:.0}");
         }
     }
