--- a/crates/standins/tests/capacity/main.rs
+++ b/crates/standins/tests/capacity/main.rs
@@ -1,6 +1,6 @@
-//! Whether `docs/CAPACITY.md` adds up and agrees with what was measured: its tables are read, and each row is checked
-//! against its limit, its source and the repository's files. Small tables with one wrong cell each show that a change is
-//! found.
+//! Checks that the figures of `docs/CAPACITY.md` are consistent and agree with the measurements: its tables
+//! are parsed, and each row is checked against its limit, its source and the repository's files. Sample
+//! tables with one wrong cell each show that the checks find such a fault.
 
 mod checks;
 mod page;
@@ -8,11 +8,11 @@
 
 use std::fs;
 
-use checks::{Checked, Fault, Wrong};
-use page::{Kind, Page, Unread, Verdict};
-use record::{Record, points, slopes, tells};
+use checks::{Fault, PageCheck, Problem};
+use page::{CellError, Kind, Page, Verdict};
+use record::{Record, contains_number, points, slopes};
 
-const SMALL: &str = "
+const SAMPLE_PAGE: &str = "
 | size | value | worked out as |
 | --- | --- | --- |
 | routers | 1,800 | given |
@@ -48,94 +48,96 @@
 | client | memory | its own | - | KB | - | - | - | - | - | not measured | missing: a client of the project's own | not measured: clients are the users' |
 ";
 
-const SLOPES: &str = "axis,measure,unit,slope,intercept,residual,points
+const SAMPLE_SLOPES: &str = "axis,measure,unit,slope,intercept,residual,points
 engines,memory,KB,0.5004,4998.2,3.1,5
 clients,memory,KB,20.01,6000,3.1,5
 ";
 
-const POINTS: &str = "axis,size,measure,unit,value,runs
+const SAMPLE_POINTS: &str = "axis,size,measure,unit,value,runs
 engines,80,memory,KB,5040.0,3
 engines,2400,memory,KB,6200.0,3
 ";
 
-fn small_record() -> Record {
+fn sample_record() -> Record {
     let results = "# Results\n\n## Slow peers\n\n| 3 | 4,938 |\n\n## Gossip\n\n| calm | 4,937 (so much) |\n\n## Simulated\n";
     Record {
-        slopes: slopes(SLOPES),
-        points: points(POINTS),
+        slopes: slopes(SAMPLE_SLOPES),
+        points: points(SAMPLE_POINTS),
         results: results.to_owned(),
-        ..Record::of_repository()
+        ..Record::load()
     }
 }
 
-fn faults(words: &str) -> Vec<Fault> {
-    let (page, record) = (Page::read(words).unwrap(), small_record());
-    Checked { page: &page, record: &record }.faults()
+fn faults(text: &str) -> Vec<Fault> {
+    let (page, record) = (Page::parse(text).unwrap(), sample_record());
+    PageCheck { page: &page, record: &record }.faults()
 }
 
-/// The small tables with one cell changed, which stands there once.
-fn changed(from: &str, to: &str) -> String {
-    assert_eq!(SMALL.matches(from).count(), 1, "'{from}'");
-    SMALL.replace(from, to)
+/// The sample page with one cell changed; `from` must occur exactly once.
+fn with_cell_changed(from: &str, to: &str) -> String {
+    assert_eq!(SAMPLE_PAGE.matches(from).count(), 1, "'{from}'");
+    SAMPLE_PAGE.replace(from, to)
 }
 
-/// What is found first once a cell is changed.
-fn found(from: &str, to: &str) -> Wrong {
-    faults(&changed(from, to)).into_iter().next().expect("a fault").wrong
+/// The first problem that is found after a cell is changed.
+fn first_problem(from: &str, to: &str) -> Problem {
+    faults(&with_cell_changed(from, to)).into_iter().next().expect("a fault").problem
 }
 
-fn unread(from: &str, to: &str) -> Unread {
-    Page::read(&changed(from, to)).expect_err("a cell that can't be read")
+fn cell_error(from: &str, to: &str) -> CellError {
+    Page::parse(&with_cell_changed(from, to)).expect_err("a cell that can't be parsed")
 }
 
 fn repository_page() -> String {
-    fs::read_to_string(Record::of_repository().root.join("docs/CAPACITY.md")).unwrap()
+    fs::read_to_string(Record::load().root.join("docs/CAPACITY.md")).unwrap()
 }
 
-fn listed(faults: &[Fault]) -> String {
+fn format_faults(faults: &[Fault]) -> String {
     faults.iter().map(|fault| format!("{fault}\n")).collect()
 }
 
 #[test]
-fn the_page_adds_up_and_agrees_with_what_was_measured() {
-    let page = Page::read(&repository_page()).unwrap_or_else(|unread| panic!("{unread}"));
-    let record = Record::of_repository();
-    let checked = Checked { page: &page, record: &record };
+fn the_page_agrees_with_the_measurements() {
+    let page = Page::parse(&repository_page()).unwrap_or_else(|cell_error| panic!("{cell_error}"));
+    let record = Record::load();
+    let checked = PageCheck { page: &page, record: &record };
     let faults = checked.faults();
-    assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), listed(&faults));
+    assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), format_faults(&faults));
 }
 
 #[test]
-fn the_page_leaves_out_nothing_of_a_role_or_failure() {
-    let page = Page::read(&repository_page()).unwrap_or_else(|unread| panic!("{unread}"));
-    let record = Record::of_repository();
-    let gaps = Checked { page: &page, record: &record }.gaps();
-    assert!(gaps.is_empty(), "{} gaps:\n{}", gaps.len(), listed(&gaps));
+fn the_page_has_all_rows_of_each_role_and_failure() {
+    let page = Page::parse(&repository_page()).unwrap_or_else(|cell_error| panic!("{cell_error}"));
+    let record = Record::load();
+    let gaps = PageCheck { page: &page, record: &record }.gaps();
+    assert!(gaps.is_empty(), "{} gaps:\n{}", gaps.len(), format_faults(&gaps));
 }
 
-/// What each row comes to, one after another, raised by a fiftieth: it rests on all the row's other figures.
+/// Raises the value at the target by a fiftieth, in one row after another; this value depends on all other
+/// figures of the row.
 #[test]
-fn a_figure_changed_anywhere_on_the_page_is_found() {
-    const AT_TARGET: usize = 9;
-    const RAISED: f64 = 1.02;
-    let words = repository_page();
-    let unchanged = count_faults(&words);
-    let rows = words.lines().filter(|line| page::PARTS.iter().any(|part| is_row_of(line, part.names)));
+fn a_changed_figure_in_any_row_of_the_page_is_found() {
+    const AT_TARGET_COLUMN: usize = 9;
+    const RAISE_FACTOR: f64 = 1.02;
+    let text = repository_page();
+    let unchanged = count_faults(&text);
+    let rows = text.lines().filter(|line| page::ROW_GROUPS.iter().any(|group| is_row_of(line, group.names)));
     for line in rows {
         let mut cells: Vec<&str> = line.split('|').collect();
-        let Some(figure) = page::figure(cells[AT_TARGET].trim()).filter(|figure| *figure != 0.0) else {
+        let Some(figure) = page::parse_number(cells[AT_TARGET_COLUMN].trim()).filter(|figure| *figure != 0.0)
+        else {
             continue;
         };
-        let raised = (figure * RAISED).to_string();
-        cells[AT_TARGET] = &raised;
-        let changed = words.replacen(line, &cells.join("|"), 1);
-        assert!(count_faults(&changed) > unchanged, "{line}");
+        let raised = (figure * RAISE_FACTOR).to_string();
+        cells[AT_TARGET_COLUMN] = &raised;
+        let changed_text = text.replacen(line, &cells.join("|"), 1);
+        assert!(count_faults(&changed_text) > unchanged, "{line}");
     }
 }
 
-fn count_faults(words: &str) -> usize {
-    let page = Page::read(words).unwrap_or_else(|unread| panic!("{unread}"));
-    Checked { page: &page, record: &Record::of_repository() }.faults().len()
+fn count_faults(text: &str) -> usize {
+    let page = Page::parse(text).unwrap_or_else(|cell_error| panic!("{cell_error}"));
+    PageCheck { page: &page, record: &Record::load() }.faults().len()
 }
 
 fn is_row_of(line: &str, names: &[&str]) -> bool {
@@ -143,146 +145,167 @@
 }
 
 #[test]
-fn the_small_tables_are_without_fault() {
-    assert_eq!(faults(SMALL), []);
+fn the_sample_page_has_no_fault() {
+    assert_eq!(faults(SAMPLE_PAGE), []);
 }
 
 #[test]
 fn a_wrong_sum_is_found() {
     assert_eq!(
-        found("| 5,000 | 6,200 |", "| 5,000 | 6,300 |"),
-        Wrong::Arithmetic { written: 6300.0, worked_out: 6200.0 }
+        first_problem("| 5,000 | 6,200 |", "| 5,000 | 6,300 |"),
+        Problem::Arithmetic { written: 6300.0, calculated: 6200.0 }
     );
-    assert!(matches!(found("| 129,420 |", "| 128,000 |"), Wrong::Arithmetic { .. }));
-    assert!(matches!(found("| 8,886,600 |", "| 8,800,000 |"), Wrong::Arithmetic { .. }));
-    assert!(matches!(found("- | - | 6,000 | 129,420", "- | - | 5,000 | 128,420"), Wrong::Arithmetic { .. }));
+    assert!(matches!(first_problem("| 129,420 |", "| 128,000 |"), Problem::Arithmetic { .. }));
+    assert!(matches!(first_problem("| 8,886,600 |", "| 8,800,000 |"), Problem::Arithmetic { .. }));
+    assert!(matches!(
+        first_problem("- | - | 6,000 | 129,420", "- | - | 5,000 | 128,420"),
+        Problem::Arithmetic { .. }
+    ));
 }
 
 #[test]
 fn a_wrong_size_is_found() {
-    let wrong = found("| 6,111 | clients / routers |", "| 6,200 | clients / routers |");
-    assert!(matches!(wrong, Wrong::Arithmetic { written: 6200.0, .. }));
-    assert!(matches!(found("| 4,320,000 |", "| 4,200,000 |"), Wrong::Arithmetic { .. }));
+    let problem = first_problem("| 6,111 | clients / routers |", "| 6,200 | clients / routers |");
+    assert!(matches!(problem, Problem::Arithmetic { written: 6200.0, .. }));
+    assert!(matches!(first_problem("| 4,320,000 |", "| 4,200,000 |"), Problem::Arithmetic { .. }));
+    assert_eq!(
+        first_problem("| KB | 2,400 | engines", "| KB | 2,500 | engines"),
+        Problem::SizeMismatch { written: 2500.0, listed: 2400.0 }
+    );
     assert_eq!(
-        found("| KB | 2,400 | engines", "| KB | 2,500 | engines"),
-        Wrong::Size { written: 2500.0, listed: 2400.0 }
+        first_problem("| KB | 2,400 | engines", "| KB | 2,400 | engine"),
+        Problem::UnknownSize("engine".to_owned())
     );
     assert_eq!(
-        found("| KB | 2,400 | engines", "| KB | 2,400 | engine"),
-        Wrong::UnknownSize("engine".to_owned())
+        first_problem("| 1,800 | given |", "| 1,800 | known |"),
+        Problem::UnknownSize("known".to_owned())
     );
-    assert_eq!(found("| 1,800 | given |", "| 1,800 | known |"), Wrong::UnknownSize("known".to_owned()));
 }
 
 #[test]
 fn a_wrong_verdict_is_found() {
-    let over = found("| 6,200 | 131,072 | under |", "| 6,200 | 131,072 | over |");
-    assert_eq!(over, Wrong::Verdict { written: Verdict::Over, worked_out: Verdict::Under });
-    let under = found("| 3,000 | over |", "| 3,000 | under |");
-    assert_eq!(under, Wrong::Verdict { written: Verdict::Under, worked_out: Verdict::Over });
+    let over = first_problem("| 6,200 | 131,072 | under |", "| 6,200 | 131,072 | over |");
+    assert_eq!(over, Problem::WrongVerdict { written: Verdict::Over, calculated: Verdict::Under });
+    let under = first_problem("| 3,000 | over |", "| 3,000 | under |");
+    assert_eq!(under, Problem::WrongVerdict { written: Verdict::Under, calculated: Verdict::Over });
     assert!(matches!(
-        found("| - | - | not measured | missing", "| - | - | under | missing"),
-        Wrong::Verdict { .. }
+        first_problem("| - | - | not measured | missing", "| - | - | under | missing"),
+        Problem::WrongVerdict { .. }
     ));
 }
 
 #[test]
 fn a_limit_that_is_not_listed_is_found() {
-    let wrong = found("| 6,200 | 131,072 |", "| 6,200 | 140,000 |");
-    assert_eq!(wrong, Wrong::UnknownLimit { value: 140_000.0, unit: "KB".to_owned() });
+    let problem = first_problem("| 6,200 | 131,072 |", "| 6,200 | 140,000 |");
+    assert_eq!(problem, Problem::UnknownLimit { value: 140_000.0, unit: "KB".to_owned() });
 }
 
 #[test]
 fn a_mechanism_that_does_not_exist_is_found() {
-    assert_eq!(found("`src/logic.rs`", "`src/magic.rs`"), Wrong::NoSuchFile("src/magic.rs".to_owned()));
-    assert_eq!(found("list, `src/logic.rs`", "list"), Wrong::NoMechanism);
-    assert_eq!(found("missing: a slower pace", "missing: "), Wrong::OverWithoutMissing);
-    assert_eq!(found("missing: a slower pace", "pace, `src/logic.rs`"), Wrong::OverWithoutMissing);
+    assert_eq!(
+        first_problem("`src/logic.rs`", "`src/magic.rs`"),
+        Problem::NoSuchFile("src/magic.rs".to_owned())
+    );
+    assert_eq!(first_problem("list, `src/logic.rs`", "list"), Problem::NoMechanism);
+    assert_eq!(first_problem("missing: a slower pace", "missing: "), Problem::OverWithoutMissingMechanism);
+    assert_eq!(
+        first_problem("missing: a slower pace", "pace, `src/logic.rs`"),
+        Problem::OverWithoutMissingMechanism
+    );
 }
 
 #[test]
-fn a_figure_apart_from_the_measured_one_is_found() {
-    let slope = found(
+fn a_figure_that_differs_from_the_measured_one_is_found() {
+    let slope = first_problem(
         "| 0.5 | KB | 2,400 | engines | 5,000 | 6,200 |",
         "| 0.6 | KB | 2,400 | engines | 5,000 | 6,440 |",
     );
-    assert_eq!(slope, Wrong::Measured { column: "slope", written: 0.6, measured: 0.5004 });
-    let fixed = found("| engines | 5,000 | 6,200 |", "| engines | 5,200 | 6,400 |");
-    assert_eq!(fixed, Wrong::Measured { column: "fixed", written: 5200.0, measured: 4998.2 });
-    assert!(matches!(found("engines/memory", "engines/memories"), Wrong::NoSuchSlope { .. }));
-    let unit = found(
+    assert_eq!(slope, Problem::DiffersFromMeasured { column: "slope", written: 0.6, measured: 0.5004 });
+    let fixed = first_problem("| engines | 5,000 | 6,200 |", "| engines | 5,200 | 6,400 |");
+    assert_eq!(fixed, Problem::DiffersFromMeasured { column: "fixed", written: 5200.0, measured: 4998.2 });
+    assert!(matches!(first_problem("engines/memory", "engines/memories"), Problem::UnknownSlope { .. }));
+    let unit = first_problem(
         "0.5 | KB | 2,400 | engines | 5,000 | 6,200 | 131,072 | under",
         "0.5 | MB | 2,400 | engines | 5,000 | 6,200 | - | no limit",
     );
-    assert_eq!(unit, Wrong::Unit { written: "MB".to_owned(), measured: "KB".to_owned() });
+    assert_eq!(unit, Problem::UnitMismatch { written: "MB".to_owned(), measured: "KB".to_owned() });
 }
 
 #[test]
-fn a_point_apart_from_the_measured_one_is_found() {
-    let wrong = found("| memory | KB | 6,200 |", "| memory | KB | 6,300 |");
-    assert_eq!(wrong, Wrong::Measured { column: "value", written: 6300.0, measured: 6200.0 });
-    let wrong = found(
+fn a_point_that_differs_from_the_measured_one_is_found() {
+    let problem = first_problem("| memory | KB | 6,200 |", "| memory | KB | 6,300 |");
+    assert_eq!(problem, Problem::DiffersFromMeasured { column: "value", written: 6300.0, measured: 6200.0 });
+    let problem = first_problem(
         "6,200 | KB | 1,800 | routers | 0 | 11,160,000",
         "6,300 | KB | 1,800 | routers | 0 | 11,340,000",
     );
-    assert_eq!(wrong, Wrong::Measured { column: "slope", written: 6300.0, measured: 6200.0 });
-    assert_eq!(found("engines/2,400/memory", "engines/2,500/memory"), Wrong::NoSuchPoint);
-    assert_eq!(found("| engines | 2,400 | memory |", "| engines | 2,500 | memory |"), Wrong::NoSuchPoint);
-    let wrong = found("| memory | KB | 6,200 |", "| memory | MB | 6,200 |");
-    assert_eq!(wrong, Wrong::Unit { written: "MB".to_owned(), measured: "KB".to_owned() });
+    assert_eq!(problem, Problem::DiffersFromMeasured { column: "slope", written: 6300.0, measured: 6200.0 });
+    assert_eq!(first_problem("engines/2,400/memory", "engines/2,500/memory"), Problem::UnknownPoint);
+    assert_eq!(
+        first_problem("| engines | 2,400 | memory |", "| engines | 2,500 | memory |"),
+        Problem::UnknownPoint
+    );
+    let problem = first_problem("| memory | KB | 6,200 |", "| memory | MB | 6,200 |");
+    assert_eq!(problem, Problem::UnitMismatch { written: "MB".to_owned(), measured: "KB".to_owned() });
 }
 
 #[test]
 fn a_figure_that_is_not_recorded_is_found() {
-    let wrong = found("| routers | 4,937 | 4,937 |", "| routers | 4,938 | 4,938 |");
-    assert_eq!(wrong, Wrong::NotRecorded { heading: "Gossip".to_owned(), figure: 4938.0 });
-    assert_eq!(found("results.md: Gossip", "results.md: Gosip"), Wrong::NoSuchHeading("Gosip".to_owned()));
-    let wrong = found("row: control part, gossip", "row: control part, talk");
-    assert_eq!(wrong, Wrong::NoSuchRow("control part, talk".to_owned()));
-    assert!(matches!(found("wire.rs` MAX_DATAGRAM_BYTES", "wire.rs` LETTER"), Wrong::NotInFile { .. }));
+    let problem = first_problem("| routers | 4,937 | 4,937 |", "| routers | 4,938 | 4,938 |");
+    assert_eq!(problem, Problem::NotRecorded { heading: "Gossip".to_owned(), figure: 4938.0 });
+    assert_eq!(
+        first_problem("results.md: Gossip", "results.md: Gosip"),
+        Problem::UnknownHeading("Gosip".to_owned())
+    );
+    let problem = first_problem("row: control part, gossip", "row: control part, talk");
+    assert_eq!(problem, Problem::UnknownRow("control part, talk".to_owned()));
+    assert!(matches!(
+        first_problem("wire.rs` MAX_DATAGRAM_BYTES", "wire.rs` LETTER"),
+        Problem::NameNotInFile { .. }
+    ));
 }
 
 #[test]
 fn a_figure_without_a_run_is_found() {
-    let wrong = found("| client | memory | its own | - |", "| client | memory | its own | 3 |");
-    assert_eq!(wrong, Wrong::FigureUnmeasured("slope"));
-    assert_eq!(found("not measured: clients are the users'", "not measured: "), Wrong::NoArgument);
-    assert_eq!(found("| 0.5 | KB | 2,400", "| - | KB | 2,400"), Wrong::FigureMissing("slope"));
-    assert_eq!(found("| Gossip |", "| Gossips |"), Wrong::NoCommand("Gossip".to_owned()));
+    let problem = first_problem("| client | memory | its own | - |", "| client | memory | its own | 3 |");
+    assert_eq!(problem, Problem::UnmeasuredFigure("slope"));
+    assert_eq!(first_problem("not measured: clients are the users'", "not measured: "), Problem::NoArgument);
+    assert_eq!(first_problem("| 0.5 | KB | 2,400", "| - | KB | 2,400"), Problem::MissingFigure("slope"));
+    assert_eq!(first_problem("| Gossip |", "| Gossips |"), Problem::NoCommand("Gossip".to_owned()));
 }
 
 #[test]
-fn a_row_that_stands_there_twice_is_found() {
+fn a_duplicate_row_is_found() {
     assert_eq!(
-        found("| router | memory | connections |", "| router | memory | lines of engines |"),
-        Wrong::Twice
+        first_problem("| router | memory | connections |", "| router | memory | lines of engines |"),
+        Problem::DuplicateRow
     );
 }
 
 #[test]
-fn a_gap_is_found() {
-    let (page, record) = (Page::read(SMALL).unwrap(), small_record());
-    let gaps = Checked { page: &page, record: &record }.gaps();
-    let gap = |of: &str, kind| Fault { row: of.to_owned(), wrong: Wrong::KindMissing(kind) };
+fn a_missing_row_is_found() {
+    let (page, record) = (Page::parse(SAMPLE_PAGE).unwrap(), sample_record());
+    let gaps = PageCheck { page: &page, record: &record }.gaps();
+    let gap = |subject: &str, kind| Fault { row: subject.to_owned(), problem: Problem::MissingKind(kind) };
     assert!(gaps.contains(&gap("router", Kind::ProcessorTime)));
     assert!(gaps.contains(&gap("rack", Kind::Refusals)));
     assert!(!gaps.contains(&gap("router", Kind::Memory)));
 }
 
 #[test]
-fn a_cell_that_cant_be_read_is_named_with_its_row() {
-    let wrong = unread("| 5,000 | 6,200 |", "| 5,000 | some |");
-    assert_eq!((wrong.column, wrong.cell.as_str()), ("at the target", "some"));
-    assert_eq!(wrong.row, "router, memory, lines of engines");
-    assert_eq!(unread("| client | memory |", "| customer | memory |").column, "role");
-    assert_eq!(unread("| client | memory |", "| client | memories |").column, "kind");
-    assert_eq!(unread("| 3,000 | over |", "| 3,000 | above |").column, "verdict");
-    assert_eq!(unread("results.md: Gossip", "Gossip").column, "source");
+fn a_cell_that_cannot_be_parsed_is_named_with_its_row() {
+    let problem = cell_error("| 5,000 | 6,200 |", "| 5,000 | some |");
+    assert_eq!((problem.column, problem.cell.as_str()), ("at the target", "some"));
+    assert_eq!(problem.row, "router, memory, lines of engines");
+    assert_eq!(cell_error("| client | memory |", "| customer | memory |").column, "role");
+    assert_eq!(cell_error("| client | memory |", "| client | memories |").column, "kind");
+    assert_eq!(cell_error("| 3,000 | over |", "| 3,000 | above |").column, "verdict");
+    assert_eq!(cell_error("results.md: Gossip", "Gossip").column, "source");
 }
 
 #[test]
-fn a_recorded_figure_is_found_as_a_number_of_its_own() {
-    assert!(tells("| 10.0 | 4,937 (cards)", 4937.0));
-    assert!(tells("takes 0.26 KB.", 0.26));
-    assert!(!tells("| 14,937 |", 4937.0));
+fn a_recorded_figure_is_not_matched_inside_another_number() {
+    assert!(contains_number("| 10.0 | 4,937 (cards)", 4937.0));
+    assert!(contains_number("takes 0.26 KB.", 0.26));
+    assert!(!contains_number("| 14,937 |", 4937.0));
 }
--- a/crates/standins/tests/capacity/page.rs
+++ b/crates/standins/tests/capacity/page.rs
@@ -3,15 +3,16 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A table's first column, the names that stand in it, and what the page has to tell of each.
-pub struct Part {
+/// The first column of a table, the names in that column, and the kinds of figures that the page must have
+/// for each name.
+pub struct RowGroup {
     pub column: &'static str,
     pub names: &'static [&'static str],
     pub kinds: &'static [Kind],
 }
 
-pub const PARTS: [Part; 2] = [
-    Part {
+pub const ROW_GROUPS: [RowGroup; 2] = [
+    RowGroup {
         column: "role",
         names: &[
             "router",
@@ -24,7 +25,7 @@
         ],
         kinds: &[Kind::State, Kind::Messages, Kind::ProcessorTime, Kind::Memory],
     },
-    Part {
+    RowGroup {
         column: "failure",
         names: &[
             "rack",
@@ -70,20 +71,20 @@
         size: f64,
         measure: String,
     },
-    /// The slope is what another row comes to at the target.
+    /// The slope is the value of another row at the target.
     Row(String),
-    /// What other rows come to, their fixed part counted once.
+    /// The sum of other rows at the target, with the fixed part counted once.
     Sum(Vec<String>),
-    /// Recorded under that heading of `docs/results.md`.
+    /// The figures are recorded under this heading of `docs/results.md`.
     Results(String),
-    /// A constant of a source file, or a name that it holds.
+    /// A constant of a source file, or another name that the file contains.
     Code {
         file: String,
         name: String,
     },
-    /// Given by the target itself.
+    /// The target itself gives the figures.
     Target,
-    /// Reasoned from the protocol or from other rows.
+    /// The figures are derived from the protocol or from other rows by an argument.
     Argument(String),
     NotMeasured(String),
 }
@@ -91,13 +92,13 @@
 /// One line of a capacity table. Figures are `None` where the page shows a dash.
 #[derive(Clone, Debug)]
 pub struct Row {
-    pub of: String,
+    pub subject: String,
     pub kind: Kind,
     pub what: String,
     pub slope: Option<f64>,
     pub unit: String,
     pub size: Option<f64>,
-    pub of_what: String,
+    pub size_name: String,
     pub fixed: Option<f64>,
     pub at_target: Option<f64>,
     pub limit: Option<f64>,
@@ -106,12 +107,12 @@
     pub source: Source,
 }
 
-/// A size of the target, or one assumed or worked out from others.
+/// A size that the target gives, that is assumed, or that is calculated from others.
 #[derive(Clone, Debug)]
 pub struct Size {
     pub name: String,
     pub value: f64,
-    pub worked_out_as: String,
+    pub formula: String,
 }
 
 #[derive(Clone, Debug)]
@@ -120,14 +121,14 @@
     pub unit: String,
 }
 
-/// The command that gives the figures of an axis of `slopes.csv`, or of a heading of `docs/results.md`.
+/// The command that produces the figures of an axis of `slopes.csv` or of a heading of `docs/results.md`.
 #[derive(Clone, Debug)]
 pub struct Run {
-    pub of: String,
+    pub subject: String,
     pub command: String,
 }
 
-/// A point of an axis as it was measured.
+/// A measured point of an axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
     pub axis: String,
@@ -146,30 +147,30 @@
     pub rows: Vec<Row>,
 }
 
-/// A cell that can't be read.
+/// A cell that can't be parsed.
 #[derive(Debug, PartialEq)]
-pub struct Unread {
+pub struct CellError {
     pub row: String,
     pub column: &'static str,
     pub cell: String,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for CellError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: column '{}' can't be read: '{}'", self.row, self.column, self.cell)
+        write!(f, "{}: column '{}' can't be parsed: '{}'", self.row, self.column, self.cell)
     }
 }
 
 impl Row {
     pub fn name(&self) -> String {
-        format!("{}, {}", self.of, self.what)
+        format!("{}, {}", self.subject, self.what)
     }
 }
 
 impl FromStr for Kind {
     type Err = ();
-    fn from_str(words: &str) -> Result<Self, ()> {
-        Ok(match words {
+    fn from_str(text: &str) -> Result<Self, ()> {
+        Ok(match text {
             "state" => Self::State,
             "messages" => Self::Messages,
             "processor time" => Self::ProcessorTime,
@@ -183,8 +184,8 @@
 
 impl FromStr for Verdict {
     type Err = ();
-    fn from_str(words: &str) -> Result<Self, ()> {
-        Ok(match words {
+    fn from_str(text: &str) -> Result<Self, ()> {
+        Ok(match text {
             "under" => Self::Under,
             "over" => Self::Over,
             "no limit" => Self::NoLimit,
@@ -196,13 +197,13 @@
 
 impl FromStr for Source {
     type Err = ();
-    fn from_str(words: &str) -> Result<Self, ()> {
-        if words == "target" {
+    fn from_str(text: &str) -> Result<Self, ()> {
+        if text == "target" {
             return Ok(Self::Target);
         }
-        let (form, rest) = words.split_once(':').ok_or(())?;
+        let (form, rest) = text.split_once(':').ok_or(())?;
         let rest = rest.trim();
-        let told = rest.to_owned();
+        let text = rest.to_owned();
         Ok(match form {
             "slopes.csv" => {
                 let (axis, measure) = rest.split_once('/').ok_or(())?;
@@ -211,58 +212,58 @@
             "point" => {
                 let (axis, rest) = rest.split_once('/').ok_or(())?;
                 let (size, measure) = rest.split_once('/').ok_or(())?;
-                let size = figure(size).ok_or(())?;
+                let size = parse_number(size).ok_or(())?;
                 Self::Point { axis: axis.to_owned(), size, measure: measure.to_owned() }
             }
-            "row" => Self::Row(told),
+            "row" => Self::Row(text),
             "sum" => Self::Sum(rest.split(" + ").map(str::to_owned).collect()),
-            "results.md" => Self::Results(told),
+            "results.md" => Self::Results(text),
             "code" => {
                 let (file, name) = rest.split_once(' ').ok_or(())?;
                 Self::Code { file: file.trim_matches('`').to_owned(), name: name.to_owned() }
             }
-            "argument" => Self::Argument(told),
-            "not measured" => Self::NotMeasured(told),
+            "argument" => Self::Argument(text),
+            "not measured" => Self::NotMeasured(text),
             _ => return Err(()),
         })
     }
 }
 
-/// A figure with commas between thousands.
-pub fn figure(words: &str) -> Option<f64> {
-    words.replace(',', "").parse().ok()
+/// Parses a number with commas between thousands.
+pub fn parse_number(text: &str) -> Option<f64> {
+    text.replace(',', "").parse().ok()
 }
 
-/// The cells of one line, by the names in the table's header.
+/// The cells of one line, addressed by the names in the table's header.
 struct Cells<'a> {
     header: &'a [String],
     cells: &'a [String],
 }
 
 impl Cells<'_> {
-    fn text(&self, column: &'static str) -> Result<&str, Unread> {
-        let place = self.header.iter().position(|name| name == column);
-        let cell = place.and_then(|place| self.cells.get(place));
-        cell.map(String::as_str).ok_or_else(|| self.unread(column, "no such cell"))
+    fn text(&self, column: &'static str) -> Result<&str, CellError> {
+        let index = self.header.iter().position(|name| name == column);
+        let cell = index.and_then(|index| self.cells.get(index));
+        cell.map(String::as_str).ok_or_else(|| self.cell_error(column, "no such cell"))
     }
 
-    fn read<T: FromStr>(&self, column: &'static str) -> Result<T, Unread> {
+    fn read<T: FromStr>(&self, column: &'static str) -> Result<T, CellError> {
         let cell = self.text(column)?;
-        cell.parse().map_err(|_| self.unread(column, cell))
+        cell.parse().map_err(|_| self.cell_error(column, cell))
     }
 
-    fn figure(&self, column: &'static str) -> Result<f64, Unread> {
+    fn figure(&self, column: &'static str) -> Result<f64, CellError> {
         let cell = self.text(column)?;
-        figure(cell).ok_or_else(|| self.unread(column, cell))
+        parse_number(cell).ok_or_else(|| self.cell_error(column, cell))
     }
 
-    fn figure_or_dash(&self, column: &'static str) -> Result<Option<f64>, Unread> {
+    fn figure_or_dash(&self, column: &'static str) -> Result<Option<f64>, CellError> {
         if self.text(column)? == "-" { Ok(None) } else { self.figure(column).map(Some) }
     }
 
-    fn unread(&self, column: &'static str, cell: &str) -> Unread {
+    fn cell_error(&self, column: &'static str, cell: &str) -> CellError {
         let row = self.cells.iter().take(3).cloned().collect::<Vec<_>>().join(", ");
-        Unread { row, column, cell: cell.to_owned() }
+        CellError { row, column, cell: cell.to_owned() }
     }
 }
 
@@ -271,10 +272,10 @@
 }
 
 impl Page {
-    pub fn read(words: &str) -> Result<Self, Unread> {
+    pub fn parse(text: &str) -> Result<Self, CellError> {
         let mut page = Self::default();
         let mut header: Option<Vec<String>> = None;
-        for line in words.lines() {
+        for line in text.lines() {
             let line = line.trim();
             if !line.starts_with('|') {
                 header = None;
@@ -285,14 +286,14 @@
             match &header {
                 None => header = Some(cells),
                 Some(_) if is_rule => {}
-                Some(header) => page.line(&Cells { header, cells: &cells })?,
+                Some(header) => page.add_line(&Cells { header, cells: &cells })?,
             }
         }
         Ok(page)
     }
 
-    /// Takes in a line of a table that it knows; others are the reader's alone.
-    fn line(&mut self, cells: &Cells<'_>) -> Result<(), Unread> {
+    /// Adds a line of a known table; other tables are ignored.
+    fn add_line(&mut self, cells: &Cells<'_>) -> Result<(), CellError> {
         let Some(first) = cells.header.first() else { return Ok(()) };
         match first.as_str() {
             "size" => self.sizes.push(size(cells)?),
@@ -300,8 +301,8 @@
             "axis" => self.points.push(point(cells)?),
             "run" => self.runs.push(run(cells)?),
             column => {
-                if let Some(part) = PARTS.iter().find(|part| part.column == column) {
-                    self.rows.push(row(part, cells)?);
+                if let Some(group) = ROW_GROUPS.iter().find(|group| group.column == column) {
+                    self.rows.push(row(group, cells)?);
                 }
             }
         }
@@ -309,23 +310,23 @@
     }
 }
 
-fn size(cells: &Cells<'_>) -> Result<Size, Unread> {
+fn size(cells: &Cells<'_>) -> Result<Size, CellError> {
     Ok(Size {
         name: cells.text("size")?.to_owned(),
         value: cells.figure("value")?,
-        worked_out_as: cells.text("worked out as")?.to_owned(),
+        formula: cells.text("worked out as")?.to_owned(),
     })
 }
 
-fn limit(cells: &Cells<'_>) -> Result<Limit, Unread> {
+fn limit(cells: &Cells<'_>) -> Result<Limit, CellError> {
     Ok(Limit { value: cells.figure("value")?, unit: cells.text("unit")?.to_owned() })
 }
 
-fn run(cells: &Cells<'_>) -> Result<Run, Unread> {
-    Ok(Run { of: cells.text("run")?.to_owned(), command: cells.text("command")?.to_owned() })
+fn run(cells: &Cells<'_>) -> Result<Run, CellError> {
+    Ok(Run { subject: cells.text("run")?.to_owned(), command: cells.text("command")?.to_owned() })
 }
 
-fn point(cells: &Cells<'_>) -> Result<Point, Unread> {
+fn point(cells: &Cells<'_>) -> Result<Point, CellError> {
     Ok(Point {
         axis: cells.text("axis")?.to_owned(),
         size: cells.figure("size")?,
@@ -335,19 +336,19 @@
     })
 }
 
-fn row(part: &Part, cells: &Cells<'_>) -> Result<Row, Unread> {
-    let of = cells.text(part.column)?;
-    if !part.names.contains(&of) {
-        return Err(cells.unread(part.column, of));
+fn row(group: &RowGroup, cells: &Cells<'_>) -> Result<Row, CellError> {
+    let subject = cells.text(group.column)?;
+    if !group.names.contains(&subject) {
+        return Err(cells.cell_error(group.column, subject));
     }
     Ok(Row {
-        of: of.to_owned(),
+        subject: subject.to_owned(),
         kind: cells.read("kind")?,
         what: cells.text("what")?.to_owned(),
         slope: cells.figure_or_dash("slope")?,
         unit: cells.text("unit")?.to_owned(),
         size: cells.figure_or_dash("size")?,
-        of_what: cells.text("of what")?.to_owned(),
+        size_name: cells.text("of what")?.to_owned(),
         fixed: cells.figure_or_dash("fixed")?,
         at_target: cells.figure_or_dash("at the target")?,
         limit: cells.figure_or_dash("limit")?,
--- a/crates/standins/tests/relays.rs
+++ b/crates/standins/tests/relays.rs
@@ -1,4 +1,4 @@
-//! What stories rest on: that relays do what they are told, and nothing else.
+//! Tests of the relays on which the scenario tests rely: the relays apply exactly the faults that are set.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -9,10 +9,11 @@
 use woadhook_standins::processes::free_datagram_address;
 use woadhook_standins::relays::{EndpointSet, Relays, Way};
 
-const SOON: Duration = Duration::from_millis(250);
+const SHORT_WAIT: Duration = Duration::from_millis(250);
 
-/// A server that says back what it hears, and relays with a way to it: `a` in zone x to `b` in zone y.
-fn echo() -> (Relays, SocketAddr) {
+/// Starts a server that echoes what it receives, behind a relay from `a` in zone x to `b` in zone y. Returns
+/// the relays and the address of the relay.
+fn start_echo_server_behind_relays() -> (Relays, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let target = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -31,147 +32,160 @@
     let relays = Relays::new(1);
     relays.add_party("a", "x", "r");
     relays.add_party("b", "y", "r");
-    let at = relays.relay_address("a", "b", target);
-    (relays, at)
+    let relay_address = relays.relay_address("a", "b", target);
+    (relays, relay_address)
 }
 
-fn hears(stream: &mut TcpStream, within: Duration) -> std::io::Result<u8> {
-    stream.set_read_timeout(Some(within)).unwrap();
+fn receive_byte(stream: &mut TcpStream, timeout: Duration) -> std::io::Result<u8> {
+    stream.set_read_timeout(Some(timeout)).unwrap();
     let mut byte = [0];
     stream.read_exact(&mut byte).map(|()| byte[0])
 }
 
 #[test]
-fn a_cut_holds_bytes_both_ways_and_lets_no_connection_come_up_until_it_is_healed() {
-    let (relays, at) = echo();
-    let mut before = TcpStream::connect(at).unwrap();
-    before.write_all(b"1").unwrap();
-    assert_eq!(hears(&mut before, TEST_TIMEOUT).unwrap(), b'1');
+fn a_cut_holds_bytes_and_connections_until_it_is_healed() {
+    let (relays, relay_address) = start_echo_server_behind_relays();
+    let mut before_cut = TcpStream::connect(relay_address).unwrap();
+    before_cut.write_all(b"1").unwrap();
+    assert_eq!(receive_byte(&mut before_cut, TEST_TIMEOUT).unwrap(), b'1');
     relays.set_ways([(EndpointSet::zone("x"), EndpointSet::zone("y"), Way::CUT)]);
-    before.write_all(b"2").unwrap();
-    assert_eq!(hears(&mut before, SOON).unwrap_err().kind(), ErrorKind::WouldBlock);
-    let during = TcpStream::connect_timeout(&at, SOON);
-    assert_eq!(during.unwrap_err().kind(), ErrorKind::TimedOut, "no connection comes up across a cut");
+    before_cut.write_all(b"2").unwrap();
+    assert_eq!(receive_byte(&mut before_cut, SHORT_WAIT).unwrap_err().kind(), ErrorKind::WouldBlock);
+    let during_cut = TcpStream::connect_timeout(&relay_address, SHORT_WAIT);
+    assert_eq!(
+        during_cut.unwrap_err().kind(),
+        ErrorKind::TimedOut,
+        "no connection is established across a cut"
+    );
     relays.heal();
-    assert_eq!(hears(&mut before, TEST_TIMEOUT).unwrap(), b'2', "what was held comes");
-    let mut after = TcpStream::connect_timeout(&at, TEST_TIMEOUT).unwrap();
-    after.write_all(b"3").unwrap();
-    assert_eq!(hears(&mut after, TEST_TIMEOUT).unwrap(), b'3');
+    assert_eq!(receive_byte(&mut before_cut, TEST_TIMEOUT).unwrap(), b'2', "the held byte arrives");
+    let mut after_heal = TcpStream::connect_timeout(&relay_address, TEST_TIMEOUT).unwrap();
+    after_heal.write_all(b"3").unwrap();
+    assert_eq!(receive_byte(&mut after_heal, TEST_TIMEOUT).unwrap(), b'3');
 }
 
 #[test]
-fn a_cut_one_way_lets_the_other_pass() {
-    let (relays, at) = echo();
-    let mut stream = TcpStream::connect(at).unwrap();
+fn a_cut_in_one_direction_leaves_the_other_open() {
+    let (relays, relay_address) = start_echo_server_behind_relays();
+    let mut stream = TcpStream::connect(relay_address).unwrap();
     stream.write_all(b"0").unwrap();
-    assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap(), b'0');
+    assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'0');
     relays.set_ways([(EndpointSet::party("b"), EndpointSet::party("a"), Way::CUT)]);
     stream.write_all(b"1").unwrap();
-    assert!(hears(&mut stream, SOON).is_err(), "the answer is held");
+    assert!(receive_byte(&mut stream, SHORT_WAIT).is_err(), "the answer is held by the cut");
     relays.heal();
-    assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap(), b'1', "the question was not");
+    assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'1', "the request was not held");
 }
 
 #[test]
-fn a_reset_is_one_and_the_next_connection_is_well() {
-    let (relays, at) = echo();
-    let mut stream = TcpStream::connect(at).unwrap();
+fn a_reset_ends_a_connection_and_the_next_one_works() {
+    let (relays, relay_address) = start_echo_server_behind_relays();
+    let mut stream = TcpStream::connect(relay_address).unwrap();
     stream.write_all(b"1").unwrap();
-    assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap(), b'1');
-    assert_eq!(relays.reset(&EndpointSet::zone("y"), &EndpointSet::zone("x")), 0, "none goes that way");
+    assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'1');
+    assert_eq!(
+        relays.reset(&EndpointSet::zone("y"), &EndpointSet::zone("x")),
+        0,
+        "no connection in that direction"
+    );
     assert_eq!(relays.reset(&EndpointSet::zone("x"), &EndpointSet::zone("y")), 1);
-    assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap_err().kind(), ErrorKind::ConnectionReset);
-    let mut next = TcpStream::connect(at).unwrap();
-    next.write_all(b"2").unwrap();
-    assert_eq!(hears(&mut next, TEST_TIMEOUT).unwrap(), b'2');
+    assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap_err().kind(), ErrorKind::ConnectionReset);
+    let mut next_stream = TcpStream::connect(relay_address).unwrap();
+    next_stream.write_all(b"2").unwrap();
+    assert_eq!(receive_byte(&mut next_stream, TEST_TIMEOUT).unwrap(), b'2');
 }
 
 #[test]
-fn a_slow_way_takes_its_time_and_keeps_the_order() {
-    let (relays, at) = echo();
+fn a_delayed_way_delays_bytes_and_keeps_their_order() {
+    let (relays, relay_address) = start_echo_server_behind_relays();
     relays.set_ways([(EndpointSet::All, EndpointSet::party("b"), Way { delay: (20, 60), ..Way::default() })]);
-    let mut stream = TcpStream::connect(at).unwrap();
+    let mut stream = TcpStream::connect(relay_address).unwrap();
     let began = Instant::now();
     for byte in 0..8 {
         stream.write_all(&[byte]).unwrap();
         thread::sleep(Duration::from_millis(2));
     }
     for byte in 0..8 {
-        assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap(), byte);
+        assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), byte);
     }
     assert!(began.elapsed() >= Duration::from_millis(20));
 }
 
 #[test]
-fn datagrams_come_from_the_address_that_others_know_and_are_lost_across_a_cut() {
+fn datagrams_come_from_the_relay_address_and_are_lost_across_a_cut() {
     let relays = Relays::new(1);
-    let own: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-    let known: Vec<SocketAddr> = own
+    let sockets: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+    let relay_addresses: Vec<SocketAddr> = sockets
         .iter()
         .enumerate()
         .map(|(number, socket)| {
             relays.add_party(&format!("n{number}"), &format!("z{number}"), "r");
-            socket.set_read_timeout(Some(SOON)).unwrap();
+            socket.set_read_timeout(Some(SHORT_WAIT)).unwrap();
             relays.datagram_relay_address(&format!("n{number}"), socket.local_addr().unwrap())
         })
         .collect();
     let mut bytes = [0; 16];
-    own[0].send_to(b"1", known[1]).unwrap();
-    assert_eq!(own[1].recv_from(&mut bytes).unwrap(), (1, known[0]));
+    sockets[0].send_to(b"1", relay_addresses[1]).unwrap();
+    assert_eq!(sockets[1].recv_from(&mut bytes).unwrap(), (1, relay_addresses[0]));
     relays.set_ways([(EndpointSet::zone("z0"), EndpointSet::zone("z1"), Way::CUT)]);
-    own[0].send_to(b"2", known[1]).unwrap();
-    assert!(own[1].recv_from(&mut bytes).is_err(), "lost");
-    own[1].send_to(b"3", known[0]).unwrap();
-    assert_eq!(own[0].recv_from(&mut bytes).unwrap().1, known[1], "the other way goes on");
+    sockets[0].send_to(b"2", relay_addresses[1]).unwrap();
+    assert!(sockets[1].recv_from(&mut bytes).is_err(), "lost");
+    sockets[1].send_to(b"3", relay_addresses[0]).unwrap();
+    assert_eq!(
+        sockets[0].recv_from(&mut bytes).unwrap().1,
+        relay_addresses[1],
+        "the other direction still works"
+    );
     relays.heal();
-    assert!(own[1].recv_from(&mut bytes).is_err(), "what was lost stays lost");
+    assert!(sockets[1].recv_from(&mut bytes).is_err(), "a lost datagram is not delivered later");
     relays.set_ways([(EndpointSet::All, EndpointSet::All, Way { twice: 1.0, ..Way::default() })]);
-    own[0].send_to(b"4", known[1]).unwrap();
-    assert!((0..2).all(|_| own[1].recv_from(&mut bytes).is_ok()), "twice");
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(b"5", known[1]).unwrap();
-    assert!(own[1].recv_from(&mut bytes).is_err(), "no party");
+    sockets[0].send_to(b"4", relay_addresses[1]).unwrap();
+    assert!((0..2).all(|_| sockets[1].recv_from(&mut bytes).is_ok()), "delivered twice");
+    let unknown_socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    unknown_socket.send_to(b"5", relay_addresses[1]).unwrap();
+    assert!(sockets[1].recv_from(&mut bytes).is_err(), "a sender that is not a party is ignored");
 }
 
-/// Guards against calls to a party that refuses which reach another one: the system frees a port that it chose itself as its listener is shut
-/// down.
+/// Guards against calls to a refusing party that reach another one: the system frees a port that it chose
+/// itself as soon as the listener is shut down.
 #[test]
-fn the_port_of_a_party_that_refuses_is_nobody_elses() {
-    let (relays, at) = echo();
+fn the_port_of_a_refusing_party_stays_reserved() {
+    let (relays, relay_address) = start_echo_server_behind_relays();
     relays.refuse_connections("b");
-    let refused = TcpStream::connect(at).map(|_| ()).map_err(|error| error.kind());
+    let refused = TcpStream::connect(relay_address).map(|_| ()).map_err(|error| error.kind());
     assert_eq!(refused, Err(ErrorKind::ConnectionRefused));
-    assert!(TcpListener::bind(at).is_err(), "another listener got the port");
+    assert!(TcpListener::bind(relay_address).is_err(), "another listener got the port");
 }
 
-/// Guards against a rest of the relays that passes for one of the router: what passes then comes later than it was sent.
+/// Guards against a pause of the relays that is mistaken for one of the router: what passes the relays
+/// meanwhile arrives later than it was sent.
 #[test]
-fn a_rest_of_the_relays_is_told() {
-    let (relays, at) = echo();
-    let mut stream = TcpStream::connect(at).unwrap();
+fn a_pause_of_the_relay_thread_is_recorded() {
+    let (relays, relay_address) = start_echo_server_behind_relays();
+    let mut stream = TcpStream::connect(relay_address).unwrap();
     stream.write_all(b"1").unwrap();
-    assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap(), b'1');
-    let stood = Duration::from_millis(700);
+    assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'1');
+    let blocked_span = Duration::from_millis(700);
     let sent = Instant::now();
-    relays.block_thread(stood);
-    thread::sleep(stood / 2);
+    relays.block_thread(blocked_span);
+    thread::sleep(blocked_span / 2);
     stream.write_all(b"2").unwrap();
-    assert_eq!(hears(&mut stream, TEST_TIMEOUT).unwrap(), b'2');
-    assert!(sent.elapsed() >= stood, "nothing passes meanwhile");
-    let by = Instant::now() + TEST_TIMEOUT;
-    while !relays.rests().iter().any(|rest| rest.span >= stood / 2) {
-        assert!(Instant::now() < by, "{:?}", relays.rests());
+    assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'2');
+    assert!(sent.elapsed() >= blocked_span, "nothing passes during the pause");
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !relays.rests().iter().any(|rest| rest.span >= blocked_span / 2) {
+        assert!(Instant::now() < deadline, "{:?}", relays.rests());
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Guards against a router of a story that can't listen: the address for its datagrams was free as it was chosen, and one of the relays', or of
-/// another test's, as it started.
+/// Guards against a router of a scenario that can't listen: the address for its datagrams was free when it
+/// was chosen, but a relay or another test had taken it by the time the router started.
 #[test]
-fn a_free_address_for_datagrams_is_no_other_partys_until_it_is_used() {
-    let chosen: Vec<SocketAddr> = (0..50).map(|_| free_datagram_address()).collect();
-    // As many as there are may be asked for meanwhile.
+fn a_free_datagram_address_stays_reserved_until_it_is_used() {
+    let free_addresses: Vec<SocketAddr> = (0..50).map(|_| free_datagram_address()).collect();
+    // Other sockets are bound meanwhile: enough that the system might choose one of the free addresses again.
     let _others: Vec<UdpSocket> = (0..2_000).filter_map(|_| UdpSocket::bind("127.0.0.1:0").ok()).collect();
-    let taken = chosen.iter().filter(|at| UdpSocket::bind(at).is_err()).count();
-    assert_eq!(taken, 0);
+    let taken_count = free_addresses.iter().filter(|address| UdpSocket::bind(address).is_err()).count();
+    assert_eq!(taken_count, 0);
 }
