--- a/crates/standins/examples/decisions.rs
+++ b/crates/standins/examples/decisions.rs
@@ -176,24 +176,24 @@
             text: String::new(),
         };
         (0..engines).for_each(|engine| pool.list_engine(engine, EngineStatus::Live, None));
-        pool.after(FIRST_JOB, SimulationEvent::Arrival);
+        pool.schedule(FIRST_JOB, SimulationEvent::Arrival);
         if rough {
-            pool.after(FIRST_JOB, SimulationEvent::Change);
+            pool.schedule(FIRST_JOB, SimulationEvent::Change);
         }
         pool
     }
 
-    fn after(&mut self, span: Span, event: SimulationEvent) {
+    fn schedule(&mut self, span: Span, event: SimulationEvent) {
         self.event_sequence += 1;
         self.event_queue.push(Reverse((self.now + span, self.event_sequence, event)));
     }
 
-    fn list_engine(&mut self, engine: usize, listed: EngineStatus, started_at: Option<Moment>) {
+    fn list_engine(&mut self, engine: usize, status: EngineStatus, started_at: Option<Moment>) {
         let (zone, kind, cell) = (ZoneId(engine % 3), KindId(engine % 2), CellId(engine % 5));
         let stable_hash = (engine as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let stamp = |at: Moment| at.since(Moment::default()).micros();
         let start = started_at.map(|at| EngineStart { stamp: stamp(at), age: self.now.since(at) });
-        self.router.engine_listed(self.now, EngineId(engine), zone, kind, cell, listed, start, stable_hash);
+        self.router.engine_listed(self.now, EngineId(engine), zone, kind, cell, status, start, stable_hash);
     }
 
     fn run(&mut self) {
@@ -216,7 +216,7 @@
                 let outcome = if healthy { Outcome::Done } else { Outcome::TimedOut };
                 self.router.probe_ended(self.now, EngineId(engine), outcome);
             }
-            SimulationEvent::Change => self.change(),
+            SimulationEvent::Change => self.change_engine(),
             SimulationEvent::Wake => {}
         }
     }
@@ -246,7 +246,7 @@
             let burst = self.rough && job / 500 % 4 == 3;
             let rate = JOBS_PER_SECOND * if burst { 8.0 } else { 1.0 };
             let gap = Span::from_secs(-self.rng.random::<f64>().max(1e-9).ln() / rate);
-            self.after(gap, SimulationEvent::Arrival);
+            self.schedule(gap, SimulationEvent::Arrival);
         }
         if self.rough && job.is_multiple_of(97) {
             self.router.job_closed(JobId(job));
@@ -264,7 +264,7 @@
 
     /// Changes one engine at random, and delivers a peer's report and a transfer delay, each of an engine
     /// drawn at random.
-    fn change(&mut self) {
+    fn change_engine(&mut self) {
         let engine = self.rng.random_range(0..self.engines.len());
         let started_at = Some(self.now);
         let model = &mut self.engines[engine];
@@ -286,7 +286,7 @@
         let delayed_engine = EngineId(self.rng.random_range(0..self.engines.len()));
         self.router
             .transfer_delay_measured(delayed_engine, Span::from_micros(self.rng.random_range(0..5_000)));
-        self.after(CHANGE_INTERVAL, SimulationEvent::Change);
+        self.schedule(CHANGE_INTERVAL, SimulationEvent::Change);
     }
 
     fn execute_decisions(&mut self) {
@@ -314,14 +314,17 @@
         match decision {
             Decision::Dispatch { job, engine, timeout, .. } => self.dispatch(job.0, engine.0, timeout),
             Decision::CancelDispatch { job, number } => {
-                self.after(CONNECT_TIME, SimulationEvent::Ended { job: job.0, number, outcome: CANCELLED });
+                self.schedule(
+                    CONNECT_TIME,
+                    SimulationEvent::Ended { job: job.0, number, outcome: CANCELLED },
+                );
             }
             Decision::Probe { engine } => {
                 let healthy = !self.engines[engine.0].hangs;
                 self.report(engine.0);
-                self.after(PROBE_TIME, SimulationEvent::Probed { engine: engine.0, healthy });
+                self.schedule(PROBE_TIME, SimulationEvent::Probed { engine: engine.0, healthy });
             }
-            Decision::Wake { after } => self.after(after, SimulationEvent::Wake),
+            Decision::Wake { after } => self.schedule(after, SimulationEvent::Wake),
             _ => {}
         }
     }
@@ -342,7 +345,7 @@
             _ if run_time > timeout => (timeout, 3),
             _ => (run_time, 0),
         };
-        self.after(span, SimulationEvent::Ended { job, number, outcome });
+        self.schedule(span, SimulationEvent::Ended { job, number, outcome });
         if self.rough && !model.hangs && job.is_multiple_of(5) {
             let progress = [
                 Progress::Fraction(0.5),
@@ -364,10 +367,10 @@
 }
 
 fn main() {
-    let text: Vec<String> = std::env::args().skip(1).collect();
-    let count = |place: usize| text.get(place).and_then(|word| word.parse::<usize>().ok());
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let count = |place: usize| arguments.get(place).and_then(|argument| argument.parse::<usize>().ok());
     let (engines, jobs, seed) = (count(0).unwrap_or(80), count(1).unwrap_or(8_000), count(2).unwrap_or(1));
-    let rough = text.get(3).is_some_and(|word| word == "rough");
+    let rough = arguments.get(3).is_some_and(|argument| argument == "rough");
     let mut pool = Pool::new(engines, jobs, seed as u64, rough);
     pool.run();
     let (decisions, checksum) = (pool.decisions, pool.checksum);
