--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy)]
 struct Engine {
-    class: Class,
+    class: EngineClass,
     mark: u64,
 }
 
@@ -62,12 +62,12 @@
 
 /// The set of one router where engines pick; in no zone, its set is drawn from all engines alike.
 fn picked(number: u32, zone: usize, engines: &[Engine]) -> Vec<Engine> {
-    let in_zone = |class: Class| if zone == usize::MAX { Class { zone: 0, ..class } } else { class };
-    let mut census = Census::default();
+    let in_zone = |class: EngineClass| if zone == usize::MAX { EngineClass { zone: 0, ..class } } else { class };
+    let mut census = EngineCounts::default();
     engines.iter().for_each(|engine| census.add(in_zone(engine.class)));
     let home = if zone == usize::MAX { 0 } else { zone };
-    let plan = Plan::new(Replica { number, replicas: ROUTERS }, home, &[], &census, 0);
-    let held = |engine: &&Engine| plan.holding(in_zone(engine.class), engine.mark).is_some();
+    let plan = WorkingSet::new(Replica { index: number, count: ROUTERS }, home, &[], &census, 0);
+    let held = |engine: &&Engine| plan.membership(in_zone(engine.class), engine.mark).is_some();
     engines.iter().filter(held).copied().collect()
 }
 
@@ -77,22 +77,22 @@
         engines.iter().copied().partition(|engine| engine.class.zone == zone);
     near.sort_by_cached_key(weight);
     far.sort_by_cached_key(weight);
-    near.truncate(SET - ANYWHERE);
-    far.truncate(ANYWHERE);
+    near.truncate(TARGET_SET_SIZE - ANY_ZONE_SET_SIZE);
+    far.truncate(ANY_ZONE_SET_SIZE);
     near.into_iter().chain(far).collect()
 }
 
 fn rounds(number: u32, engines: &[Engine]) -> Vec<Engine> {
-    let sets = engines.len() / SET;
+    let sets = engines.len() / TARGET_SET_SIZE;
     let mut shuffled = engines.to_vec();
     shuffled.sort_by_key(|engine| engine.mark);
     shuffled.shuffle(&mut Pcg32::seed_from_u64(u64::from(number) / sets as u64));
-    shuffled.into_iter().skip(number as usize % sets * SET).take(SET).collect()
+    shuffled.into_iter().skip(number as usize % sets * TARGET_SET_SIZE).take(TARGET_SET_SIZE).collect()
 }
 
 fn list(chance: &mut Pcg32) -> Vec<Engine> {
     let engine =
-        |at: usize| Engine { class: Class { zone: at / RACK % ZONES, kind: 0 }, mark: chance.random() };
+        |at: usize| Engine { class: EngineClass { zone: at / RACK % ZONES, kind: 0 }, mark: chance.random() };
     (0..ENGINES).map(engine).collect()
 }
 
--- a/crates/subset/src/census.rs
+++ b/crates/subset/src/engine_counts.rs
@@ -4,7 +4,7 @@
 
 /// Engines that are alike to a plan: in one zone and of one kind of machine, by their places in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Class {
+pub struct EngineClass {
     pub zone: usize,
     pub kind: usize,
 }
@@ -19,7 +19,7 @@
 }
 
 impl Restriction {
-    pub fn allows(&self, class: Class) -> bool {
+    pub fn allows(&self, class: EngineClass) -> bool {
         self.zones.as_ref().is_none_or(|zones| zones.contains(&class.zone))
             && self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&class.kind))
     }
@@ -27,17 +27,17 @@
 
 /// Listed engines, counted by class. It holds a line for each pair of a zone and a kind that is met.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Census {
-    counts: BTreeMap<Class, usize>,
+pub struct EngineCounts {
+    counts: BTreeMap<EngineClass, usize>,
 }
 
-impl Census {
-    pub fn add(&mut self, class: Class) {
+impl EngineCounts {
+    pub fn add(&mut self, class: EngineClass) {
         *self.counts.entry(class).or_default() += 1;
     }
 
     /// Takes off what was added before.
-    pub fn remove(&mut self, class: Class) {
+    pub fn remove(&mut self, class: EngineClass) {
         let Some(count) = self.counts.get_mut(&class) else { return };
         *count -= 1;
         if *count == 0 {
@@ -45,16 +45,16 @@
         }
     }
 
-    pub fn classes(&self) -> impl Iterator<Item = Class> {
+    pub fn classes(&self) -> impl Iterator<Item = EngineClass> {
         self.counts.keys().copied()
     }
 
-    pub fn all(&self) -> usize {
+    pub fn total(&self) -> usize {
         self.counts.values().sum()
     }
 
     /// How many are of a class for which `counts` holds.
-    pub fn of(&self, counts: impl Fn(Class) -> bool) -> usize {
+    pub fn count_where(&self, counts: impl Fn(EngineClass) -> bool) -> usize {
         self.counts.iter().filter(|(class, _)| counts(**class)).map(|(_, count)| count).sum()
     }
 }
--- a/crates/subset/src/rank.rs
+++ b/crates/subset/src/rank.rs
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replica {
     /// Counted from 0.
-    pub number: u32,
-    pub replicas: u32,
+    pub index: u32,
+    pub count: u32,
 }
 
 /// The place of a replica in the order drawn from an engine's mark, counted from 0. The order is a permutation
 /// of all replicas, the same wherever it is worked out. Threat: numbers follow zones or racks in a regular way, and
 /// an order that is regular too would give some engines many routers of a zone, and others none.
 pub fn rank(mark: u64, replica: Replica) -> usize {
-    let replicas = replica.replicas.max(1);
+    let replicas = replica.count.max(1);
     let network = Network::new(mark, replicas);
-    let mut place = network.permuted(replica.number % replicas);
+    let mut place = network.permuted(replica.index % replicas);
     // Walks on its cycle until it is back among the replicas, at its own number at the latest.
     while place >= replicas {
         place = network.permuted(place);
--- a/crates/subset/tests/properties.rs
+++ b/crates/subset/tests/properties.rs
@@ -7,21 +7,21 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Engine {
-    class: Class,
+    class: EngineClass,
     mark: u64,
 }
 
 fn engine() -> impl Strategy<Value = Engine> {
     (0_usize..14, 0_usize..3, any::<u64>())
-        .prop_map(|(zone, kind, mark)| Engine { class: Class { zone, kind }, mark })
+        .prop_map(|(zone, kind, mark)| Engine { class: EngineClass { zone, kind }, mark })
 }
 
 fn engines(most: usize) -> impl Strategy<Value = Vec<Engine>> {
     proptest::collection::vec(engine(), 1..most)
 }
 
-fn census(engines: &[Engine]) -> Census {
-    let mut census = Census::default();
+fn census(engines: &[Engine]) -> EngineCounts {
+    let mut census = EngineCounts::default();
     engines.iter().for_each(|engine| census.add(engine.class));
     census
 }
@@ -30,16 +30,16 @@
     vec![Restriction { zones: None, kinds: Some(vec![2]) }]
 }
 
-fn plan(number: u32, replicas: u32, engines: &[Engine], doublings: u32) -> Plan {
-    let replica = Replica { number, replicas };
-    Plan::new(replica, number as usize % 14, &large_machines_only(), &census(engines), doublings)
+fn plan(number: u32, replicas: u32, engines: &[Engine], doublings: u32) -> WorkingSet {
+    let replica = Replica { index: number, count: replicas };
+    WorkingSet::new(replica, number as usize % 14, &large_machines_only(), &census(engines), doublings)
 }
 
-fn held(plan: &Plan, engines: &[Engine]) -> Vec<bool> {
-    engines.iter().map(|engine| plan.holding(engine.class, engine.mark).is_some()).collect()
+fn held(plan: &WorkingSet, engines: &[Engine]) -> Vec<bool> {
+    engines.iter().map(|engine| plan.membership(engine.class, engine.mark).is_some()).collect()
 }
 
-fn size(plan: &Plan, engines: &[Engine]) -> usize {
+fn size(plan: &WorkingSet, engines: &[Engine]) -> usize {
     held(plan, engines).into_iter().filter(|held| *held).count()
 }
 
@@ -48,7 +48,7 @@
     let mut chance = Pcg32::seed_from_u64(seed);
     let drawn = (0..count).map(|at| {
         let kind = if chance.random_bool(0.1) { 2 } else { at % 2 };
-        Engine { class: Class { zone: at % 14, kind }, mark: chance.random() }
+        Engine { class: EngineClass { zone: at % 14, kind }, mark: chance.random() }
     });
     drawn.collect()
 }
@@ -60,7 +60,7 @@
     fn an_engine_orders_all_replicas(mark: u64, replicas in 1_u32..3000) {
         let mut met = vec![false; replicas as usize];
         for number in 0..replicas {
-            let rank = rank(mark, Replica { number, replicas });
+            let rank = rank(mark, Replica { index: number, count: replicas });
             prop_assert!(!std::mem::replace(&mut met[rank], true));
         }
     }
@@ -69,16 +69,16 @@
     fn an_engine_is_held_by_all_its_sharers_and_by_no_other_but_those_of_its_zone(
         engines in engines(300), replicas in 1_u32..200,
     ) {
-        let plans: Vec<Plan> = (0..replicas).map(|number| plan(number, replicas, &engines, 0)).collect();
+        let plans: Vec<WorkingSet> = (0..replicas).map(|number| plan(number, replicas, &engines, 0)).collect();
         for engine in engines.iter().take(20) {
-            let holdings = plans.iter().map(|plan| (plan, plan.holding(engine.class, engine.mark)));
+            let holdings = plans.iter().map(|plan| (plan, plan.membership(engine.class, engine.mark)));
             let held = holdings.filter_map(|(plan, holding)| Some((plan, holding?)));
-            let (sharers, others): (Vec<_>, Vec<_>) = held.partition(|(_, held)| held.rank < held.sharers);
-            let share = plans[0].share(engine.class).map_or(0, |share| share.anywhere);
+            let (sharers, others): (Vec<_>, Vec<_>) = held.partition(|(_, held)| held.rank < held.budget_sharers);
+            let share = plans[0].holder_counts(engine.class).map_or(0, |share| share.base);
             prop_assert_eq!(sharers.len(), share);
-            prop_assert!(share >= LEAST_HOLDERS.min(replicas as usize));
+            prop_assert!(share >= MIN_HOLDERS.min(replicas as usize));
             for (plan, held) in others {
-                prop_assert!(plan.share(engine.class).is_some_and(|share| held.rank < share.here));
+                prop_assert!(plan.holder_counts(engine.class).is_some_and(|share| held.rank < share.effective));
                 let zone = plans.iter().position(|other| other == plan).map(|number| number % 14);
                 prop_assert_eq!(zone, Some(engine.class.zone));
             }
@@ -86,9 +86,9 @@
     }
 
     #[test]
-    fn where_all_engines_fit_each_is_held(engines in engines(SET + 1), replicas: u32, number: u32) {
+    fn where_all_engines_fit_each_is_held(engines in engines(TARGET_SET_SIZE + 1), replicas: u32, number: u32) {
         let plan = plan(number, replicas, &engines, 0);
-        prop_assert!(plan.is_whole());
+        prop_assert!(plan.includes_all_engines());
         prop_assert_eq!(size(&plan, &engines), engines.len());
     }
 
@@ -114,14 +114,14 @@
         let pairs = held(&before, &left).into_iter().zip(held(&after, &left));
         let (given, taken): (Vec<_>, Vec<_>) =
             pairs.filter(|(before, after)| before != after).partition(|(_, after)| *after);
-        let same = left.iter().all(|engine| before.share(engine.class) == after.share(engine.class));
+        let same = left.iter().all(|engine| before.holder_counts(engine.class) == after.holder_counts(engine.class));
         prop_assert!(taken.is_empty(), "fewer engines are held no thinner");
         prop_assert!(given.is_empty() || !same);
     }
 
     #[test]
     fn a_type_of_few_engines_has_all_of_them(engines in engines(1500), replicas: u32, number: u32) {
-        let large: Vec<Engine> = engines.iter().filter(|e| e.class.kind == 2).take(COVERED).copied().collect();
+        let large: Vec<Engine> = engines.iter().filter(|e| e.class.kind == 2).take(RESTRICTED_TYPE_SET_SIZE).copied().collect();
         let others = engines.iter().filter(|engine| engine.class.kind != 2).copied();
         let engines: Vec<Engine> = large.iter().copied().chain(others).collect();
         prop_assert_eq!(size(&plan(number, replicas, &engines, 0), &large), large.len());
@@ -134,15 +134,15 @@
     let numbers = (0..1800).step_by(9);
     let plans = numbers.map(|number| (number as usize % 14, plan(number, 1800, &engines, 0)));
     for (zone, plan) in plans {
-        let held = |of: &dyn Fn(Class) -> bool| {
+        let held = |of: &dyn Fn(EngineClass) -> bool| {
             let some: Vec<Engine> = engines.iter().filter(|engine| of(engine.class)).copied().collect();
             size(&plan, &some)
         };
         let all = held(&|_| true);
-        assert!((SET * 2 / 3..SET * 7 / 4).contains(&all), "{all} engines held");
-        assert!(held(&|class| class.zone == zone) >= SET / 4);
-        assert!(held(&|class| class.zone != zone) >= ANYWHERE / 2);
-        assert!(held(&|class| class.kind == 2) >= COVERED / 3);
+        assert!((TARGET_SET_SIZE * 2 / 3..TARGET_SET_SIZE * 7 / 4).contains(&all), "{all} engines held");
+        assert!(held(&|class| class.zone == zone) >= TARGET_SET_SIZE / 4);
+        assert!(held(&|class| class.zone != zone) >= ANY_ZONE_SET_SIZE / 2);
+        assert!(held(&|class| class.kind == 2) >= RESTRICTED_TYPE_SET_SIZE / 3);
     }
 }
 
@@ -156,13 +156,13 @@
     });
     let changed: Vec<usize> = changed.collect();
     let (sum, most) = (changed.iter().sum::<usize>(), changed.iter().max().copied());
-    assert!(sum / 200 <= SET / 4, "{sum} engines left 200 sets for a step of the count");
-    assert!(most <= Some(SET / 2), "{most:?} left one set");
+    assert!(sum / 200 <= TARGET_SET_SIZE / 4, "{sum} engines left 200 sets for a step of the count");
+    assert!(most <= Some(TARGET_SET_SIZE / 2), "{most:?} left one set");
 }
 
 #[test]
 fn a_router_among_few_holds_all_engines() {
     let engines = list(3, 2400);
-    let replicas = LEAST_HOLDERS as u32;
-    assert!((0..replicas).all(|number| plan(number, replicas, &engines, 0).is_whole()));
+    let replicas = MIN_HOLDERS as u32;
+    assert!((0..replicas).all(|number| plan(number, replicas, &engines, 0).includes_all_engines()));
 }
--- a/crates/zones/src/flow.rs
+++ b/crates/zones/src/flow.rs
@@ -4,11 +4,11 @@
 use std::collections::BinaryHeap;
 
 /// A place in the graph.
-pub type Place = usize;
+pub type NodeIndex = usize;
 
 #[derive(Clone, Copy, Debug)]
 struct Edge {
-    to: Place,
+    to: NodeIndex,
     room: u64,
     cost: i64,
     /// The edge back, in the list of `to`.
@@ -23,8 +23,8 @@
 
 /// An edge, to ask what flows over it.
 #[derive(Clone, Copy, Debug)]
-pub struct Over {
-    from: Place,
+pub struct EdgeId {
+    from: NodeIndex,
     at: usize,
 }
 
@@ -34,28 +34,28 @@
     }
 
     /// Costs are below 2^40.
-    pub fn edge(&mut self, from: Place, to: Place, room: u64, cost: u64) -> Over {
+    pub fn add_edge(&mut self, from: NodeIndex, to: NodeIndex, room: u64, cost: u64) -> EdgeId {
         let (at, back) = (self.edges[from].len(), self.edges[to].len() + usize::from(from == to));
         self.edges[from].push(Edge { to, room, cost: cost as i64, back });
         self.edges[to].push(Edge { to: from, room: 0, cost: -(cost as i64), back: at });
-        Over { from, at }
+        EdgeId { from, at }
     }
 
-    /// What flows over an edge, after [`send`](Self::send).
-    pub fn flows(&self, over: Over) -> u64 {
+    /// What flows over an edge, after [`maximize_flow`](Self::maximize_flow).
+    pub fn flow_on(&self, over: EdgeId) -> u64 {
         let edge = self.edges[over.from][over.at];
         self.edges[edge.to][edge.back].room
     }
 
     /// Sends as much as there is room for, at the least cost; gives how much.
-    pub fn send(&mut self, from: Place, to: Place) -> u64 {
+    pub fn maximize_flow(&mut self, from: NodeIndex, to: NodeIndex) -> u64 {
         let count = self.edges.len();
         let mut potential = vec![0_i64; count];
         let mut sent = 0;
         loop {
             // Dijkstra over costs less potentials, which stay without negative ones.
             let mut far: Vec<Option<i64>> = vec![None; count];
-            let mut came: Vec<Option<(Place, usize)>> = vec![None; count];
+            let mut came: Vec<Option<(NodeIndex, usize)>> = vec![None; count];
             let mut heap = BinaryHeap::from([Reverse((0_i64, from))]);
             far[from] = Some(0);
             while let Some(Reverse((reached, place))) = heap.pop() {
--- a/crates/zones/tests/exact.rs
+++ b/crates/zones/tests/exact.rs
@@ -1,31 +1,31 @@
 //! The solver against every plan there is, and what must hold of any plan.
 
 use proptest::prelude::*;
-use woadhook_zones::shares::{Fault, Kind, Shares, Zone, reserve, solve};
+use woadhook_zones::allocation::{InputError, ReservationType, Allocation, Zone, extra_throttled_per_lost_zone, solve};
 
-fn served(shares: &Shares, kinds: &[Kind]) -> u64 {
+fn served(shares: &Allocation, kinds: &[ReservationType]) -> u64 {
     let of = |kind: usize, to: &Vec<u64>| to.iter().sum::<u64>() * u64::from(kinds[kind].value + 1);
-    shares.goes.iter().flat_map(|kinds| kinds.iter().enumerate()).map(|(kind, to)| of(kind, to)).sum()
+    shares.served.iter().flat_map(|kinds| kinds.iter().enumerate()).map(|(kind, to)| of(kind, to)).sum()
 }
 
-fn paid(shares: &Shares, zones: &[Zone]) -> u64 {
+fn paid(shares: &Allocation, zones: &[Zone]) -> u64 {
     let of = |home: usize, to: &Vec<u64>| -> u64 {
         to.iter().enumerate().map(|(away, milli)| milli * u64::from(zones[home].crossing[away])).sum()
     };
-    shares.goes.iter().enumerate().flat_map(|(home, kinds)| kinds.iter().map(move |to| of(home, to))).sum()
+    shares.served.iter().enumerate().flat_map(|(home, kinds)| kinds.iter().map(move |to| of(home, to))).sum()
 }
 
 /// The most value and then the least crossing, over all plans: each unit of demand goes to each zone or is throttled.
-fn best(zones: &[Zone], kinds: &[Kind]) -> (u64, u64) {
+fn best(zones: &[Zone], kinds: &[ReservationType]) -> (u64, u64) {
     let mut units: Vec<(usize, usize)> = Vec::new();
     for (home, zone) in zones.iter().enumerate() {
         for (kind, asks) in zone.asks.iter().enumerate() {
             units.extend((0..*asks).map(|_| (home, kind)));
         }
     }
-    let mut left: Vec<u64> = zones.iter().map(|zone| zone.bears).collect();
+    let mut left: Vec<u64> = zones.iter().map(|zone| zone.capacity).collect();
     fn try_all(
-        units: &[(usize, usize)], left: &mut Vec<u64>, zones: &[Zone], kinds: &[Kind], value: u64, paid: u64,
+        units: &[(usize, usize)], left: &mut Vec<u64>, zones: &[Zone], kinds: &[ReservationType], value: u64, paid: u64,
         best: &mut (u64, u64),
     ) {
         let Some(((home, kind), rest)) = units.split_first() else {
@@ -50,7 +50,7 @@
     (found.0, if found.0 == 0 { 0 } else { found.1 })
 }
 
-fn world(most_zones: usize, most_types: usize, most: u64) -> impl Strategy<Value = (Vec<Zone>, Vec<Kind>)> {
+fn world(most_zones: usize, most_types: usize, most: u64) -> impl Strategy<Value = (Vec<Zone>, Vec<ReservationType>)> {
     (1..=most_zones, 1..=most_types).prop_flat_map(move |(zones, types)| {
         let zone =
             (0..=2 * most, prop::collection::vec(0..=most, types), prop::collection::vec(1_u32..9, zones));
@@ -58,9 +58,9 @@
         (prop::collection::vec(zone, zones), prop::collection::vec(kind, types)).prop_map(|(zones, kinds)| {
             let zones = zones.into_iter().enumerate().map(|(home, (bears, asks, mut crossing))| {
                 crossing[home] = 0;
-                Zone { bears, asks, crossing }
+                Zone { capacity: bears, asks, crossing }
             });
-            let kinds = kinds.into_iter().map(|(value, runs_in)| Kind { value, runs_in });
+            let kinds = kinds.into_iter().map(|(value, runs_in)| ReservationType { value, runs_in });
             (zones.collect(), kinds.collect())
         })
     })
@@ -81,7 +81,7 @@
         let mut filled = vec![0; zones.len()];
         for (home, zone) in zones.iter().enumerate() {
             for (kind, asks) in zone.asks.iter().enumerate() {
-                let to = &shares.goes[home][kind];
+                let to = &shares.served[home][kind];
                 prop_assert_eq!(to.iter().sum::<u64>() + shares.throttled[home][kind], *asks);
                 for (away, milli) in to.iter().enumerate() {
                     filled[away] += milli;
@@ -90,21 +90,21 @@
             }
         }
         for (zone, filled) in zones.iter().zip(&filled) {
-            prop_assert!(*filled <= zone.bears);
+            prop_assert!(*filled <= zone.capacity);
         }
-        let spare: Vec<u64> = zones.iter().zip(&filled).map(|(zone, filled)| zone.bears - filled).collect();
+        let spare: Vec<u64> = zones.iter().zip(&filled).map(|(zone, filled)| zone.capacity - filled).collect();
         prop_assert_eq!(&shares.spare, &spare);
         prop_assert_eq!(&solve(&zones, &kinds).unwrap(), &shares, "the same anywhere");
     }
 }
 
-fn three(bears: [u64; 3]) -> (Vec<Zone>, Vec<Kind>) {
+fn three(bears: [u64; 3]) -> (Vec<Zone>, Vec<ReservationType>) {
     let zone = |home: usize| Zone {
-        bears: bears[home],
+        capacity: bears[home],
         asks: vec![400, 200],
         crossing: (0..3_u32).map(|away| 300 * (home as u32).abs_diff(away)).collect(),
     };
-    let kind = |value| Kind { value, runs_in: vec![true; 3] };
+    let kind = |value| ReservationType { value, runs_in: vec![true; 3] };
     ((0..3).map(zone).collect(), vec![kind(1), kind(6)])
 }
 
@@ -112,7 +112,7 @@
 fn all_stay_near_while_each_zone_bears_its_own() {
     let (zones, kinds) = three([1000, 600, 800]);
     let shares = solve(&zones, &kinds).unwrap();
-    assert_eq!((shares.crosses(), shares.is_throttled()), (0, false));
+    assert_eq!((shares.cross_zone_total(), shares.throttles_any()), (0, false));
     assert_eq!(shares.spare, [400, 0, 200]);
 }
 
@@ -123,30 +123,30 @@
     assert_eq!(shares.throttled.iter().map(|kinds| kinds[1]).sum::<u64>(), 0, "what is worth six is served");
     assert_eq!(shares.throttled.iter().map(|kinds| kinds[0]).sum::<u64>(), 200);
     assert_eq!(shares.spare, [0, 0, 0]);
-    assert!(reserve(&zones, &kinds).unwrap()[1].is_some_and(|more| more == 900));
+    assert!(extra_throttled_per_lost_zone(&zones, &kinds).unwrap()[1].is_some_and(|more| more == 900));
 }
 
 #[test]
 fn what_one_more_loss_would_throttle_is_told() {
     let (zones, kinds) = three([1000, 1000, 1000]);
-    assert_eq!(reserve(&zones, &kinds).unwrap(), [None, None, None], "two bear what three ask");
+    assert_eq!(extra_throttled_per_lost_zone(&zones, &kinds).unwrap(), [None, None, None], "two bear what three ask");
     let (zones, kinds) = three([1000, 700, 900]);
-    assert_eq!(reserve(&zones, &kinds).unwrap(), [Some(200), None, Some(100)]);
+    assert_eq!(extra_throttled_per_lost_zone(&zones, &kinds).unwrap(), [Some(200), None, Some(100)]);
 }
 
 #[test]
 fn figures_out_of_shape_or_size_are_named() {
     let (mut zones, kinds) = three([1, 1, 1]);
-    assert_eq!(solve(&[], &kinds), Err(Fault::Size));
+    assert_eq!(solve(&[], &kinds), Err(InputError::Count));
     zones[1].asks.pop();
-    assert_eq!(solve(&zones, &kinds), Err(Fault::Shape("asks")));
+    assert_eq!(solve(&zones, &kinds), Err(InputError::Length("asks")));
     let (mut zones, kinds) = three([1, 1, 1]);
-    zones[2].bears = u64::MAX;
-    assert_eq!(solve(&zones, &kinds), Err(Fault::Large("bears or asks")));
+    zones[2].capacity = u64::MAX;
+    assert_eq!(solve(&zones, &kinds), Err(InputError::TooLarge("capacity or asks")));
     let (zones, mut kinds) = three([1, 1, 1]);
     kinds[0].runs_in.push(true);
-    assert_eq!(solve(&zones, &kinds), Err(Fault::Shape("runs_in")));
+    assert_eq!(solve(&zones, &kinds), Err(InputError::Length("runs_in")));
     let (zones, mut kinds) = three([1, 1, 1]);
     kinds[0].value = u32::MAX;
-    assert_eq!(solve(&zones, &kinds), Err(Fault::Large("value")));
+    assert_eq!(solve(&zones, &kinds), Err(InputError::TooLarge("value")));
 }
