--- a/crates/subset/src/engine_counts.rs
+++ b/crates/subset/src/engine_counts.rs
@@ -1,20 +1,21 @@
-//! How many engines are listed where.
+//! Counts of the listed engines by zone and machine kind.
 
 use std::collections::BTreeMap;
 
-/// Engines that are alike to a plan: in one zone and of one kind of machine, by their places in the settings.
+/// Engines that a working set treats alike: those of one zone and one machine kind, each given by its index
+/// in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineClass {
     pub zone: usize,
     pub kind: usize,
 }
 
-/// Where jobs of a reservation type may run.
+/// The zones and machine kinds where jobs of a reservation type may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restriction {
-    /// All zones where it is `None`.
+    /// `None` allows all zones.
     pub zones: Option<Vec<usize>>,
-    /// All kinds where it is `None`.
+    /// `None` allows all machine kinds.
     pub kinds: Option<Vec<usize>>,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// Listed engines, counted by class. It holds a line for each pair of a zone and a kind that is met.
+/// The number of listed engines of each class. Only classes that have engines take an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounts {
     counts: BTreeMap<EngineClass, usize>,
@@ -36,7 +37,7 @@
         *self.counts.entry(class).or_default() += 1;
     }
 
-    /// Takes off what was added before.
+    /// Removes one engine that was added before; does nothing where none of the class is counted.
     pub fn remove(&mut self, class: EngineClass) {
         let Some(count) = self.counts.get_mut(&class) else { return };
         *count -= 1;
@@ -53,8 +54,8 @@
         self.counts.values().sum()
     }
 
-    /// How many are of a class for which `counts` holds.
-    pub fn count_where(&self, counts: impl Fn(EngineClass) -> bool) -> usize {
-        self.counts.iter().filter(|(class, _)| counts(**class)).map(|(_, count)| count).sum()
+    /// The number of engines whose class matches `predicate`.
+    pub fn count_where(&self, predicate: impl Fn(EngineClass) -> bool) -> usize {
+        self.counts.iter().filter(|(class, _)| predicate(**class)).map(|(_, count)| count).sum()
     }
 }
--- a/crates/subset/src/working_set.rs
+++ b/crates/subset/src/working_set.rs
@@ -1,123 +1,132 @@
-//! How many replicas hold an engine of each class.
+//! Decides how many replicas hold an engine of each class, and whether one replica is among them.
 
 use std::collections::BTreeMap;
 
-use crate::engine_counts::{EngineCounts, EngineClass, Restriction};
+use crate::engine_counts::{EngineClass, EngineCounts, Restriction};
 use crate::rank::{Replica, rank};
-use crate::{ANY_ZONE_SET_SIZE, RESTRICTED_TYPE_SET_SIZE, MIN_HOLDERS, TARGET_SET_SIZE};
+use crate::{ANY_ZONE_SET_SIZE, MIN_HOLDERS, RESTRICTED_TYPE_SET_SIZE, TARGET_SET_SIZE};
 
-/// How often a replica in need may double its working set: the bound on its growth.
+/// The number of times a replica that needs more engines may double its working set; bounds the growth.
 pub const MAX_DOUBLINGS: u32 = 2;
 
-/// Steps between two powers of two at which counts of engines are rounded down, in thousandths of the lower one.
-const STEPS: [usize; 4] = [1000, 1189, 1414, 1682];
+/// The steps to which engine counts are rounded down, in thousandths of the power of two below the count.
+const ROUNDING_STEPS_THOUSANDTHS: [usize; 4] = [1000, 1189, 1414, 1682];
 
-/// How many replicas hold the engines of a class.
+/// How many replicas hold each engine of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderCounts {
-    /// The first so many by rank, wherever they stand: they share its cold-start budget.
+    /// The number of replicas, from the lowest rank on, that hold the engine whatever their zone. They share
+    /// its cold-start budget.
     pub base: usize,
-    /// As many as this replica sees it: more where the engine is in its own zone.
+    /// The number that this replica computes for itself: more than `base` where the engine is in its own
+    /// zone.
     pub effective: usize,
 }
 
 /// How a replica holds one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// This replica's place among those that hold the engine.
+    /// This replica's position among the holders of the engine, from 0.
     pub rank: usize,
-    /// Those of the lowest ranks, which share its cold-start budget; the same at all replicas.
+    /// The number of replicas, from the lowest rank on, that share the engine's cold-start budget. All
+    /// replicas compute the same number.
     pub budget_sharers: usize,
-    /// Of all replicas, so many would hold it, were they all placed and grown as this one: its part of the engine.
+    /// The number of replicas that would hold the engine if all were in this replica's zone and had doubled
+    /// as often as it; determines this replica's part of the engine.
     pub holders: usize,
 }
 
-/// The working set of one replica, for the engines counted. Two replicas that count alike agree on who shares
-/// an engine.
+/// The working set of one replica, for the engines counted. Two replicas with equal counts agree on which
+/// replicas share an engine's cold-start budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkingSet {
     replica: Replica,
     doublings: u32,
-    /// Has a line for each class counted.
-    shares: BTreeMap<EngineClass, HolderCounts>,
+    /// Has an entry for each class counted.
+    holder_counts: BTreeMap<EngineClass, HolderCounts>,
 }
 
 impl WorkingSet {
-    /// A plan for the replica that stands in `zone`; `restrictions` are those of all reservation types.
+    /// The working set of a replica in `zone`; `restrictions` are those of all reservation types.
     pub fn new(
-        replica: Replica, zone: usize, restrictions: &[Restriction], census: &EngineCounts, doublings: u32,
+        replica: Replica, zone: usize, restrictions: &[Restriction], engines: &EngineCounts, doublings: u32,
     ) -> Self {
         let replicas = replica.count.max(1) as usize;
-        let near = near_holders(replicas, zone, census);
-        let share = |class: EngineClass| {
-            let anywhere = holders_anywhere(replicas, class, restrictions, census);
-            let here = if class.zone == zone { anywhere.max(near) } else { anywhere };
-            HolderCounts { base: anywhere, effective: here }
+        let own_zone = own_zone_holders(replicas, zone, engines);
+        let counts = |class: EngineClass| {
+            let base = base_holders(replicas, class, restrictions, engines);
+            let effective = if class.zone == zone { base.max(own_zone) } else { base };
+            HolderCounts { base, effective }
         };
-        let shares = census.classes().map(|class| (class, share(class))).collect();
-        Self { replica, doublings: doublings.min(MAX_DOUBLINGS), shares }
+        let holder_counts = engines.classes().map(|class| (class, counts(class))).collect();
+        Self { replica, doublings: doublings.min(MAX_DOUBLINGS), holder_counts }
     }
 
     /// Whether this replica holds every engine.
     pub fn includes_all_engines(&self) -> bool {
         let replicas = self.replica.count.max(1) as usize;
-        self.shares.values().all(|share| self.grown(share.effective) >= replicas)
+        self.holder_counts.values().all(|counts| self.with_doublings(counts.effective) >= replicas)
     }
 
-    /// How this replica holds an engine; `None` where the engine is outside its working set, or of no class
-    /// that was counted.
-    pub fn membership(&self, class: EngineClass, mark: u64) -> Option<Membership> {
-        let share = self.shares.get(&class)?;
-        let holding = Membership {
-            rank: rank(mark, self.replica),
-            budget_sharers: share.base,
-            holders: self.grown(share.effective),
+    /// How this replica holds an engine; `None` where the engine is outside its working set or of a class
+    /// that was not counted.
+    pub fn membership(&self, class: EngineClass, stable_hash: u64) -> Option<Membership> {
+        let counts = self.holder_counts.get(&class)?;
+        let membership = Membership {
+            rank: rank(stable_hash, self.replica),
+            budget_sharers: counts.base,
+            holders: self.with_doublings(counts.effective),
         };
-        (holding.rank < holding.holders).then_some(holding)
+        (membership.rank < membership.holders).then_some(membership)
     }
 
+    /// The holder counts of a class, before doublings; `None` where the class was not counted.
     pub fn holder_counts(&self, class: EngineClass) -> Option<HolderCounts> {
-        self.shares.get(&class).copied()
+        self.holder_counts.get(&class).copied()
     }
 
-    fn grown(&self, holders: usize) -> usize {
+    fn with_doublings(&self, holders: usize) -> usize {
         (holders << self.doublings).min(self.replica.count.max(1) as usize)
     }
 }
 
-/// Holders of an engine of a class, wherever they stand.
-fn holders_anywhere(replicas: usize, class: EngineClass, restrictions: &[Restriction], census: &EngineCounts) -> usize {
-    if census.total() <= TARGET_SET_SIZE {
+/// The number of replicas that hold an engine of a class, whatever their zone.
+fn base_holders(
+    replicas: usize, class: EngineClass, restrictions: &[Restriction], engines: &EngineCounts,
+) -> usize {
+    if engines.total() <= TARGET_SET_SIZE {
         return replicas;
     }
-    let by_size = part_of(replicas, ANY_ZONE_SET_SIZE, census.total());
-    let open = restrictions.iter().filter(|restriction| restriction.allows(class));
-    let covered = open.map(|restriction| {
-        let allowed = census.count_where(|class| restriction.allows(class));
-        part_of(replicas, RESTRICTED_TYPE_SET_SIZE, allowed)
+    let by_set_size = holders_for_mean(replicas, ANY_ZONE_SET_SIZE, engines.total());
+    let applicable = restrictions.iter().filter(|restriction| restriction.allows(class));
+    let by_restriction = applicable.map(|restriction| {
+        let allowed = engines.count_where(|class| restriction.allows(class));
+        holders_for_mean(replicas, RESTRICTED_TYPE_SET_SIZE, allowed)
     });
-    let holders = covered.fold(by_size, usize::max).max(MIN_HOLDERS);
+    let holders = by_restriction.fold(by_set_size, usize::max).max(MIN_HOLDERS);
     holders.min(replicas)
 }
 
-/// Holders of an engine of the zone, were all replicas in the zone: so many that the mean set is of its size.
-fn near_holders(replicas: usize, zone: usize, census: &EngineCounts) -> usize {
-    let near = census.count_where(|class| class.zone == zone);
-    let all = step_below(census.total()).max(1);
-    let elsewhere = all - step_below(near).min(all);
-    part_of(replicas, TARGET_SET_SIZE - ANY_ZONE_SET_SIZE * elsewhere / all, near)
+/// The number of holders of an engine in `zone`, as if all replicas were in that zone: it brings the mean
+/// size of a working set to [`TARGET_SET_SIZE`].
+fn own_zone_holders(replicas: usize, zone: usize, engines: &EngineCounts) -> usize {
+    let in_zone = engines.count_where(|class| class.zone == zone);
+    let all = round_down_to_step(engines.total()).max(1);
+    let elsewhere = all - round_down_to_step(in_zone).min(all);
+    holders_for_mean(replicas, TARGET_SET_SIZE - ANY_ZONE_SET_SIZE * elsewhere / all, in_zone)
 }
 
-/// Holders of each of `engines` that give a replica `wanted` of them on average. The count of engines is rounded
-/// down to a step, so that holders change seldom as engines come and go.
-fn part_of(replicas: usize, wanted: usize, engines: usize) -> usize {
-    let engines = step_below(engines);
+/// The number of holders of each of `engines` that gives a replica `wanted` of them on average. The engine
+/// count is rounded down to a step, so that the number of holders seldom changes as engines come and go.
+fn holders_for_mean(replicas: usize, wanted: usize, engines: usize) -> usize {
+    let engines = round_down_to_step(engines);
     if engines <= wanted { replicas } else { (replicas * wanted).div_ceil(engines) }
 }
 
-/// The largest quarter power of two, about, that is no larger.
-fn step_below(count: usize) -> usize {
-    let Some(power) = count.checked_ilog2() else { return 0 };
-    let steps = STEPS.iter().map(|step| (step << power) / 1000);
+/// The largest value no greater than `count` among the powers of two and three steps between each two of
+/// them, which approximate quarter powers of two.
+fn round_down_to_step(count: usize) -> usize {
+    let Some(exponent) = count.checked_ilog2() else { return 0 };
+    let steps = ROUNDING_STEPS_THOUSANDTHS.iter().map(|step| (step << exponent) / 1000);
     steps.filter(|step| *step <= count).max().unwrap_or(count)
 }
