--- a/crates/zones/src/allocation.rs
+++ b/crates/zones/src/allocation.rs
@@ -1,83 +1,89 @@
-//! Allocation of demand: near while that is safe, as much billed value served as the zones bear, and then the least crossing.
+//! Allocates each zone's demand to zones: in its own zone while that is safe, the largest billed value that
+//! the zones' capacities allow, and at the least crossing cost among those.
 
-use crate::flow::{Graph, EdgeId};
+use crate::flow::{EdgeId, Graph};
 
-/// The most zones and reservation types that are planned for.
+/// Maximum number of zones.
 pub const MAX_ZONES: usize = 8;
+/// Maximum number of reservation types.
 pub const MAX_TYPES: usize = 8;
-/// Figures are whole numbers of thousandths of a core; none is larger.
+/// Maximum of every capacity and demand. They are integers in thousandths of a core.
 pub const MAX_MILLICORES: u64 = 1 << 32;
 
-/// A zone as it is planned for.
+/// The inputs for one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Zone {
-    /// What its engines bear safely, in thousandths of a core; 0 where it is lost or evacuated.
+    /// What its engines can serve safely, in thousandths of a core; 0 for a zone that is lost or evacuated.
     pub capacity: u64,
-    /// What its clients ask for, by reservation type, in the same.
+    /// Demand of its clients by reservation type, in thousandths of a core.
     pub asks: Vec<u64>,
-    /// What a job pays for being served in each zone, in microseconds of crossing; 0 at home.
+    /// Cost of serving a job of this zone in each zone, in microseconds of crossing; 0 for the zone itself.
     pub crossing: Vec<u32>,
 }
 
-/// A reservation type as it is planned for.
+/// The inputs for one reservation type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReservationType {
-    /// Billed value of a core's second, in whole units; the larger, the later it is throttled.
+    /// Billed value of one core-second, in whole units; types of less value are throttled first.
     pub value: u32,
-    /// Where it may run (rule 6), by zone.
+    /// Whether it may run in each zone (rule 6).
     pub runs_in: Vec<bool>,
 }
 
-/// What is wrong with figures.
+/// Why the inputs are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InputError {
-    /// More zones or types than planned for, or none.
+    /// There are no zones or types, or more than [`MAX_ZONES`] or [`MAX_TYPES`].
     Count,
-    /// A list that is not as long as there are zones or types, by name of the field.
+    /// The named field is a list that does not have one entry for each zone or type.
     Length(&'static str),
-    /// A figure over [`MAX_MILLICORES`], or a value or crossing that is too large for exact costs.
+    /// The named field has a figure over [`MAX_MILLICORES`], or a value or crossing too large for exact
+    /// costs.
     TooLarge(&'static str),
 }
 
-/// The most of values and crossings: the sum over all units stays within whole numbers.
-const MOST_VALUE: u32 = 1 << 10;
-const MOST_CROSSING: u32 = 1 << 18;
+/// Maximum of a type's value. With [`MAX_CROSSING_US`], it keeps the sum over all units within the integer
+/// range.
+const MAX_VALUE: u32 = 1 << 10;
+/// Maximum of a crossing.
+const MAX_CROSSING_US: u32 = 1 << 18;
 
-/// What is planned, in thousandths of a core.
+/// The result of [`solve`], in thousandths of a core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allocation {
-    /// By zone that asks, type and zone that serves.
+    /// Demand served, by home zone, type and serving zone.
     pub served: Vec<Vec<Vec<u64>>>,
-    /// By zone that asks and type.
+    /// Demand throttled, by home zone and type.
     pub throttled: Vec<Vec<u64>>,
-    /// By zone that serves, what is left of what it bears.
+    /// Capacity left over, by serving zone.
     pub spare: Vec<u64>,
 }
 
 impl Allocation {
+    /// The demand that is served outside its home zone.
     pub fn cross_zone_total(&self) -> u64 {
-        let away = |(home, kinds): (usize, &Vec<Vec<u64>>)| -> u64 {
-            kinds
+        let served_elsewhere = |(home, types): (usize, &Vec<Vec<u64>>)| -> u64 {
+            types
                 .iter()
-                .flat_map(|to| to.iter().enumerate())
+                .flat_map(|by_zone| by_zone.iter().enumerate())
                 .filter(|(zone, _)| *zone != home)
-                .map(|(_, m)| m)
+                .map(|(_, millicores)| millicores)
                 .sum()
         };
-        self.served.iter().enumerate().map(away).sum()
+        self.served.iter().enumerate().map(served_elsewhere).sum()
     }
 
     pub fn throttles_any(&self) -> bool {
-        self.throttled.iter().flatten().any(|milli| *milli > 0)
+        self.throttled.iter().flatten().any(|millicores| *millicores > 0)
     }
 }
 
-fn check(zones: &[Zone], kinds: &[ReservationType]) -> Result<(), InputError> {
-    if zones.is_empty() || kinds.is_empty() || zones.len() > MAX_ZONES || kinds.len() > MAX_TYPES {
+fn validate(zones: &[Zone], types: &[ReservationType]) -> Result<(), InputError> {
+    if zones.is_empty() || types.is_empty() || zones.len() > MAX_ZONES || types.len() > MAX_TYPES {
         return Err(InputError::Count);
     }
     for zone in zones {
-        if zone.asks.len() != kinds.len() {
+        if zone.asks.len() != types.len() {
             return Err(InputError::Length("asks"));
         }
         if zone.crossing.len() != zones.len() {
@@ -86,76 +92,101 @@
         if zone.capacity > MAX_MILLICORES || zone.asks.iter().any(|asks| *asks > MAX_MILLICORES) {
             return Err(InputError::TooLarge("capacity or asks"));
         }
-        if zone.crossing.iter().any(|crossing| *crossing > MOST_CROSSING) {
+        if zone.crossing.iter().any(|crossing| *crossing > MAX_CROSSING_US) {
             return Err(InputError::TooLarge("crossing"));
         }
     }
-    for kind in kinds {
-        if kind.runs_in.len() != zones.len() {
+    for reservation_type in types {
+        if reservation_type.runs_in.len() != zones.len() {
             return Err(InputError::Length("runs_in"));
         }
-        if kind.value > MOST_VALUE {
+        if reservation_type.value > MAX_VALUE {
             return Err(InputError::TooLarge("value"));
         }
     }
     Ok(())
 }
 
-/// Plans which share of each zone's demand is served where. In this order: the most billed value is served, what is over is
-/// throttled by least value; then the least crossing is paid. Ties are broken by the order of zones and types alone.
-pub fn solve(zones: &[Zone], kinds: &[ReservationType]) -> Result<Allocation, InputError> {
-    check(zones, kinds)?;
-    let (all, types) = (zones.len(), kinds.len());
-    // From the source to each zone's type, from there to the zones and past them, from the zones to the sink.
+/// Decides which share of each zone's demand is served where. The largest billed value is served, so the
+/// excess is throttled from the least value up; among such allocations, the one of the least crossing cost is
+/// chosen. Ties are broken by the order of zones and types alone.
+pub fn solve(zones: &[Zone], types: &[ReservationType]) -> Result<Allocation, InputError> {
+    validate(zones, types)?;
+    let (zone_count, type_count) = (zones.len(), types.len());
+    // The source has edges to a demand node for each zone and type. Each demand node has edges to the
+    // capacity nodes of the zones that may serve it and one to the sink for what is throttled. Capacity nodes
+    // have edges to the sink.
     let (source, sink) = (0, 1);
-    let asked = |zone: usize, kind: usize| 2 + zone * types + kind;
-    let serves = |zone: usize| 2 + all * types + zone;
-    let mut graph = Graph::new(2 + all * types + all);
-    let mut ways: Vec<(usize, usize, usize, EdgeId)> = Vec::new();
-    let mut past: Vec<(usize, usize, EdgeId)> = Vec::new();
-    // One unit of value costs more than any chain of moves among zones saves: so served value goes before crossing.
-    let most = zones.iter().flat_map(|zone| &zone.crossing).max().copied().unwrap_or(0);
-    let dearest = u64::from(most) * 2 * all as u64 + 1;
+    let demand_node = |zone: usize, type_index: usize| 2 + zone * type_count + type_index;
+    let capacity_node = |zone: usize| 2 + zone_count * type_count + zone;
+    let mut graph = Graph::new(2 + zone_count * type_count + zone_count);
+    let mut serving_edges: Vec<(usize, usize, usize, EdgeId)> = Vec::new();
+    let mut throttling_edges: Vec<(usize, usize, EdgeId)> = Vec::new();
+    // To throttle one unit of value costs more than any chain of moves among zones can save, so that served
+    // value takes precedence over crossing cost.
+    let max_crossing = zones.iter().flat_map(|zone| &zone.crossing).max().copied().unwrap_or(0);
+    let cost_per_value = u64::from(max_crossing) * 2 * zone_count as u64 + 1;
     for (home, zone) in zones.iter().enumerate() {
-        for (kind, of) in kinds.iter().enumerate() {
-            let at = asked(home, kind);
-            graph.add_edge(source, at, zone.asks[kind], 0);
-            for away in (0..all).filter(|away| of.runs_in[*away]) {
-                ways.push((
+        for (type_index, reservation_type) in types.iter().enumerate() {
+            let node = demand_node(home, type_index);
+            graph.add_edge(source, node, zone.asks[type_index], 0);
+            for serving in (0..zone_count).filter(|serving| reservation_type.runs_in[*serving]) {
+                serving_edges.push((
                     home,
-                    kind,
-                    away,
-                    graph.add_edge(at, serves(away), u64::MAX >> 2, zone.crossing[away].into()),
+                    type_index,
+                    serving,
+                    graph.add_edge(
+                        node,
+                        capacity_node(serving),
+                        u64::MAX >> 2,
+                        zone.crossing[serving].into(),
+                    ),
                 ));
             }
-            past.push((home, kind, graph.add_edge(at, sink, u64::MAX >> 2, u64::from(of.value + 1) * dearest)));
+            throttling_edges.push((
+                home,
+                type_index,
+                graph.add_edge(
+                    node,
+                    sink,
+                    u64::MAX >> 2,
+                    u64::from(reservation_type.value + 1) * cost_per_value,
+                ),
+            ));
         }
     }
-    let borne: Vec<EdgeId> =
-        zones.iter().enumerate().map(|(zone, of)| graph.add_edge(serves(zone), sink, of.capacity, 0)).collect();
+    let capacity_edges: Vec<EdgeId> = zones
+        .iter()
+        .enumerate()
+        .map(|(index, zone)| graph.add_edge(capacity_node(index), sink, zone.capacity, 0))
+        .collect();
     graph.maximize_flow(source, sink);
-    let mut goes = vec![vec![vec![0; all]; types]; all];
-    for (home, kind, away, over) in ways {
-        goes[home][kind][away] = graph.flow_on(over);
+    let mut served = vec![vec![vec![0; zone_count]; type_count]; zone_count];
+    for (home, type_index, serving, edge) in serving_edges {
+        served[home][type_index][serving] = graph.flow_on(edge);
     }
-    let mut throttled = vec![vec![0; types]; all];
-    for (home, kind, over) in past {
-        throttled[home][kind] = graph.flow_on(over);
+    let mut throttled = vec![vec![0; type_count]; zone_count];
+    for (home, type_index, edge) in throttling_edges {
+        throttled[home][type_index] = graph.flow_on(edge);
     }
-    let spare = zones.iter().zip(borne).map(|(zone, over)| zone.capacity - graph.flow_on(over)).collect();
-    Ok(Allocation { served: goes, throttled, spare })
+    let spare =
+        zones.iter().zip(capacity_edges).map(|(zone, edge)| zone.capacity - graph.flow_on(edge)).collect();
+    Ok(Allocation { served, throttled, spare })
 }
 
-/// What would be throttled if one more zone were lost, for each: `None` where its clients would all be served elsewhere.
-pub fn extra_throttled_per_lost_zone(zones: &[Zone], kinds: &[ReservationType]) -> Result<Vec<Option<u64>>, InputError> {
-    check(zones, kinds)?;
-    let now: u64 = solve(zones, kinds)?.throttled.iter().flatten().sum();
+/// For each zone, how much more demand would be throttled if that zone were lost too, in thousandths of a
+/// core; `None` where the other zones would serve all of its clients.
+pub fn extra_throttled_per_lost_zone(
+    zones: &[Zone], types: &[ReservationType],
+) -> Result<Vec<Option<u64>>, InputError> {
+    validate(zones, types)?;
+    let before: u64 = solve(zones, types)?.throttled.iter().flatten().sum();
     (0..zones.len())
         .map(|lost| {
-            let mut fewer = zones.to_vec();
-            fewer[lost].capacity = 0;
-            let then: u64 = solve(&fewer, kinds)?.throttled.iter().flatten().sum();
-            Ok(Some(then.saturating_sub(now)).filter(|more| *more > 0))
+            let mut remaining = zones.to_vec();
+            remaining[lost].capacity = 0;
+            let after: u64 = solve(&remaining, types)?.throttled.iter().flatten().sum();
+            Ok(Some(after.saturating_sub(before)).filter(|extra| *extra > 0))
         })
         .collect()
 }
