--- a/Makefile
+++ b/Makefile
@@ -10,11 +10,11 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
-# One router, as the example's configuration tells it.
+# Runs one router with the example configuration.
 run: build
 	LB_CONFIG=crates/router/examples/config.json target/release/woadhook
 
-# Two toy engines and a toy bulletin for it; then `make ask`.
+# Runs two toy engines and a toy bulletin for that router; send it a query with `make ask`.
 toy:
 	cargo run --locked -p woadhook-router --example toy -- serve
 
--- a/deploy/example.jsonnet
+++ b/deploy/example.jsonnet
@@ -1,6 +1,7 @@
-// What an installation may set beside the platform's configuration: `woadhook run --operator deploy/example.jsonnet`.
-// Every field is explained in docs/operating/fields.md; `woadhook check --operator FILE` checks a file.
-// The platform runs without one: its routers share nothing.
+// Settings that an installation may add to the platform's configuration:
+// `woadhook run --operator deploy/example.jsonnet`.
+// docs/operating/fields.md explains every field; `woadhook check --operator FILE` checks a file.
+// The file is optional. Without it, the routers share no information.
 local hall = import 'lib/hall.libsonnet';
 
 {
@@ -10,9 +11,10 @@
 
   gossip: hall.gossip('10.20.0.4', seeds=['10.20.0.1', '10.20.0.2', '10.20.0.3']) {
     cluster: 'arhiv-test',
-    // Two while the operator's key is changed.
+    // Holds two keys while the operator's key is being replaced.
     operator_keys: ['d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a'],
-    // Who votes on what all follow; see docs/operating/accord.md.
+    // The operator's signed set of voters, who decide the state that all routers follow; see
+    // docs/operating/accord.md.
     order: 'keys/order',
   },
 }
--- a/deploy/lib/hall.libsonnet
+++ b/deploy/lib/hall.libsonnet
@@ -1,4 +1,4 @@
-// What all instances of a hall have in common.
+// Settings that all instances of a hall share.
 {
   local port = 7946,
 
