--- a/crates/zones/src/allocation.rs
+++ b/crates/zones/src/allocation.rs
@@ -1,5 +1,5 @@
-//! Allocates each zone's demand to zones: in its own zone while that is safe, the largest billed value that
-//! the zones' capacities allow, and at the least crossing cost among those.
+//! Allocates each zone's demand to zones. Demand stays in its own zone while that is safe; the allocation
+//! serves the largest billed value that the zones' capacities allow, at the least crossing cost.
 
 use crate::flow::{EdgeId, Graph};
 
@@ -42,10 +42,10 @@
     TooLarge(&'static str),
 }
 
-/// Maximum of a type's value. With [`MAX_CROSSING_US`], it keeps the sum over all units within the integer
-/// range.
+/// Maximum of a type's value. Together with [`MAX_CROSSING_US`], it keeps the sum over all units within the
+/// integer range.
 const MAX_VALUE: u32 = 1 << 10;
-/// Maximum of a crossing.
+/// Maximum of a crossing, in microseconds.
 const MAX_CROSSING_US: u32 = 1 << 18;
 
 /// The result of [`solve`], in thousandths of a core.
