--- a/crates/standins/src/calls.rs
+++ b/crates/standins/src/calls.rs
@@ -23,9 +23,9 @@
 pub fn modified_config(
     engines: &[SocketAddr], bulletin: SocketAddr, change: impl FnOnce(&mut Value),
 ) -> String {
-    let mut given = serde_json::from_str(&router_config(engines, bulletin, 1024)).unwrap();
-    change(&mut given);
-    given.to_string()
+    let mut config = serde_json::from_str(&router_config(engines, bulletin, 1024)).unwrap();
+    change(&mut config);
+    config.to_string()
 }
 
 /// An address at which nothing listens.
@@ -38,9 +38,9 @@
 pub struct FirstCall(Arc<Mutex<Option<Instant>>>);
 
 impl FirstCall {
-    pub fn record(&self, picked: bool) {
+    pub fn record(&self, matches: bool) {
         let mut at = self.0.lock().unwrap();
-        *at = at.or(picked.then(Instant::now));
+        *at = at.or(matches.then(Instant::now));
     }
 
     /// When it was, or this moment if that is earlier.
@@ -58,8 +58,8 @@
 pub struct LastCall(Arc<Mutex<Option<Instant>>>);
 
 impl LastCall {
-    pub fn record(&self, picked: bool) {
-        if picked {
+    pub fn record(&self, matches: bool) {
+        if matches {
             *self.0.lock().unwrap() = Some(Instant::now());
         }
     }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -85,14 +85,14 @@
     }
 
     /// How many whole answers come, of so many, until the router ends the connection.
-    pub fn count_answers(&mut self, most: u32) -> usize {
+    pub fn count_answers(&mut self, max_answers: u32) -> usize {
         let mut bytes = Vec::new();
-        let mut piece = [0; 16 * 1024];
+        let mut chunk = [0; 16 * 1024];
         let (mut whole, mut scan, mut scanned) = (0, codec::MessageScanner::default(), 0);
-        while whole < most as usize {
-            match self.0.read(&mut piece) {
+        while whole < max_answers as usize {
+            match self.0.read(&mut chunk) {
                 Ok(0) | Err(_) => break,
-                Ok(count) => bytes.extend_from_slice(&piece[..count]),
+                Ok(count) => bytes.extend_from_slice(&chunk[..count]),
             }
             while let Ok(Some(length)) = codec::message_length(&bytes, &mut scan, &mut scanned) {
                 bytes.drain(..length);
@@ -126,35 +126,35 @@
         let number = decode::read_int(stream).unwrap();
         if decode::read_marker(stream).unwrap() != Marker::Null {
             let length = decode::read_str_len(stream).unwrap();
-            let word = take_text(stream, length);
+            let error_name = read_text(stream, length);
             for _ in 0..2 * decode::read_map_len(stream).unwrap() {
                 let length = decode::read_str_len(stream).unwrap();
-                take_text(stream, length);
+                read_text(stream, length);
             }
             decode::read_nil(stream).unwrap();
-            return (number, Err(word));
+            return (number, Err(error_name));
         }
         assert_eq!(decode::read_array_len(stream).unwrap(), 2);
         let length = match decode::read_marker(stream).unwrap() {
             Marker::True => None,
             Marker::False => Some(0),
-            Marker::Bin8 => Some(take_number(stream, 1)),
-            Marker::Bin16 => Some(take_number(stream, 2)),
+            Marker::Bin8 => Some(read_uint(stream, 1)),
+            Marker::Bin16 => Some(read_uint(stream, 2)),
             other => panic!("{other:?}"),
         };
-        let result = length.map_or("true".to_owned(), |length| take_text(stream, length));
+        let result = length.map_or("true".to_owned(), |length| read_text(stream, length));
         assert_eq!(decode::read_map_len(stream).unwrap(), 0);
         (number, Ok(result))
     }
 }
 
-fn take_number(stream: &mut TcpStream, width: usize) -> u32 {
+fn read_uint(stream: &mut TcpStream, width: usize) -> u32 {
     let mut digits = [0; 4];
     stream.read_exact(&mut digits[4 - width..]).unwrap();
     u32::from_be_bytes(digits)
 }
 
-fn take_text(stream: &mut TcpStream, length: u32) -> String {
+fn read_text(stream: &mut TcpStream, length: u32) -> String {
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).unwrap();
     String::from_utf8(bytes).unwrap()
@@ -162,14 +162,14 @@
 
 /// The next answer, which must be to this message: whether it is a result.
 pub fn receive_answer(stream: &mut impl Read, number: u32) -> io::Result<bool> {
-    let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
+    let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
     let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
     loop {
-        let count = stream.read(&mut piece)?;
+        let count = stream.read(&mut chunk)?;
         if count == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        bytes.extend_from_slice(&piece[..count]);
+        bytes.extend_from_slice(&chunk[..count]);
         if let Some(length) =
             codec::message_length(&bytes, &mut scan, &mut scanned).expect("what can be read")
         {
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -125,32 +125,33 @@
     pub notices: Vec<(usize, MemberId, Vec<u8>)>,
     /// What a few of them agree on and all follow, once there is an order.
     pub agreements: BTreeMap<usize, Agreement>,
-    due: BTreeSet<(Moment, usize)>,
-    dues: Vec<Option<Moment>>,
-    places: HashMap<SocketAddr, usize>,
+    deadlines: BTreeSet<(Moment, usize)>,
+    node_deadlines: Vec<Option<Moment>>,
+    node_by_address: HashMap<SocketAddr, usize>,
 }
 
 impl Cluster {
     /// `count` instances that know the first three as seeds, and nothing else.
-    pub fn new(seed: u64, count: usize, weather: NetworkConditions, pace: GossipConfig) -> Self {
+    pub fn new(seed: u64, count: usize, weather: NetworkConditions, config: GossipConfig) -> Self {
         let net = Network::new(seed, weather);
-        let (nodes, told, heard, places) = (Vec::new(), Vec::new(), VecDeque::new(), HashMap::new());
-        let (due, dues) = (BTreeSet::new(), Vec::new());
+        let (nodes, events, pending_reports, node_by_address) =
+            (Vec::new(), Vec::new(), VecDeque::new(), HashMap::new());
+        let (deadlines, node_deadlines) = (BTreeSet::new(), Vec::new());
         let (agreements, orders, notices) = (BTreeMap::new(), Vec::new(), Vec::new());
         let mut new = Self {
             now: START + secs(60.0),
             net,
             nodes,
-            events: told,
-            pending_reports: heard,
-            config: pace,
+            events,
+            pending_reports,
+            config,
             seed,
             agreements,
             voter_sets: orders,
             notices,
-            due,
-            dues,
-            places,
+            deadlines,
+            node_deadlines,
+            node_by_address,
         };
         for number in 0..count {
             new.add(number);
@@ -168,8 +169,8 @@
             clock: (Span::ZERO, false),
             peer_reports: BTreeMap::new(),
         });
-        self.dues.push(None);
-        self.places.insert(at, node);
+        self.node_deadlines.push(None);
+        self.node_by_address.insert(at, node);
         self.start(node);
         node
     }
@@ -182,7 +183,7 @@
         let seed = self.seed.wrapping_mul(0x9e37_79b9).wrapping_add(node as u64);
         let core = Gossip::new(now, seed, own, trust_store(), self.nodes[node].address, seeds, self.config);
         self.nodes[node].core = Some(core);
-        self.settle(node);
+        self.run_actions(node);
     }
 
     /// An instance is gone at once, without a word.
@@ -193,12 +194,12 @@
 
     /// Makes all know all, as after a long calm time.
     pub fn introduce_all(&mut self) {
-        let cards: Vec<_> =
+        let records: Vec<_> =
             self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.own_record())).collect();
         for node in 0..self.nodes.len() {
             let now = self.nodes[node].now(self.now);
             if let Some(core) = &mut self.nodes[node].core {
-                core.preload_members(now, cards.iter().cloned());
+                core.preload_members(now, records.iter().cloned());
             }
         }
     }
@@ -211,7 +212,7 @@
     pub fn with_core<T>(&mut self, node: usize, act: impl FnOnce(Moment, &mut Gossip) -> T) -> T {
         let now = self.nodes[node].now(self.now);
         let done = act(now, self.nodes[node].core.as_mut().expect("an instance that runs"));
-        self.settle(node);
+        self.run_actions(node);
         done
     }
 
@@ -225,16 +226,16 @@
                 .or_insert_with(|| Agreement::start(now, seed, node as u8, own, accord));
         }
         let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret_key(*voter as u64).public()).collect();
-        let order = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("an order");
-        self.with_core(0, |_, core| core.accept_voter_set(order));
+        let voter_set = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("a voter set");
+        self.with_core(0, |_, core| core.accept_voter_set(voter_set));
     }
 
     /// How many instances act on what is agreed now.
     pub fn acting_count(&self) -> usize {
-        let acts = |(node, agreement): &(&usize, &Agreement)| {
+        let is_acting = |(node, agreement): &(&usize, &Agreement)| {
             agreement.in_force(self.nodes[**node].now(self.now)).is_some()
         };
-        self.agreements.iter().filter(acts).count()
+        self.agreements.iter().filter(is_acting).count()
     }
 
     /// The same engines at all instances.
@@ -272,7 +273,7 @@
 
     /// When the next thing happens.
     pub fn next_step_at(&self) -> Option<Moment> {
-        self.due.first().map(|(at, _)| *at).into_iter().chain(self.net.next_arrival()).min()
+        self.deadlines.first().map(|(at, _)| *at).into_iter().chain(self.net.next_arrival()).min()
     }
 
     /// Lets one thing happen, by `until` at the latest; whether anything did.
@@ -283,12 +284,12 @@
         };
         self.now = self.now.max(at);
         if let Some((from, to, bytes)) = self.net.take_arrived(self.now) {
-            let Some(&node) = self.places.get(&to) else { return true };
+            let Some(&node) = self.node_by_address.get(&to) else { return true };
             if self.nodes[node].core.is_some() {
                 self.with_core(node, |now, core| core.receive(now, from, &bytes));
             }
-        } else if let Some((_, node)) = self.due.first().copied() {
-            self.settle(node);
+        } else if let Some((_, node)) = self.deadlines.first().copied() {
+            self.run_actions(node);
         }
         true
     }
@@ -299,10 +300,10 @@
     }
 
     /// Lets time pass until something holds; how long that took, or nothing where it did not within `most`.
-    pub fn run_until(&mut self, most: Span, mut holds: impl FnMut(&Self) -> bool) -> Option<Span> {
+    pub fn run_until(&mut self, limit: Span, mut holds: impl FnMut(&Self) -> bool) -> Option<Span> {
         let start = self.now;
         let step = self.config.period.mul_f64(0.25);
-        while self.now.since(start) <= most {
+        while self.now.since(start) <= limit {
             if holds(self) {
                 return Some(self.now.since(start));
             }
@@ -311,19 +312,19 @@
         None
     }
 
-    fn settle(&mut self, node: usize) {
+    fn run_actions(&mut self, node: usize) {
         let (now, true_now) = (self.nodes[node].now(self.now), self.now);
         let from = self.nodes[node].address;
         while let Some(core) = self.nodes[node].core.as_mut() {
             if let Some(agreement) = self.agreements.get_mut(&node) {
                 agreement.run_actions(now, core);
             }
-            let Some(to_do) = core.next_action(now) else { break };
-            match to_do {
+            let Some(action) = core.next_action(now) else { break };
+            match action {
                 Action::Send { to, bytes } => self.net.send(true_now, from, to, bytes),
-                Action::PeerReport { engine, reservation_type: of, suspicion: doubt } => {
-                    self.pending_reports.push_back((node, engine.clone(), of.clone(), doubt));
-                    self.nodes[node].peer_reports.insert((engine, of), doubt);
+                Action::PeerReport { engine, reservation_type: of, suspicion } => {
+                    self.pending_reports.push_back((node, engine.clone(), of.clone(), suspicion));
+                    self.nodes[node].peer_reports.insert((engine, of), suspicion);
                 }
                 Action::VoterSet { epoch, voters } => {
                     self.voter_sets.push((node, epoch));
@@ -351,16 +352,16 @@
     }
 
     fn schedule(&mut self, node: usize) {
-        if let Some(old) = self.dues[node].take() {
-            self.due.remove(&(old, node));
+        if let Some(old) = self.node_deadlines[node].take() {
+            self.deadlines.remove(&(old, node));
         }
         let Some(core) = self.nodes[node].core.as_ref() else { return };
         let agreement = self.agreements.get(&node).and_then(Agreement::next_deadline);
-        let Some(due) = [core.next_deadline(), agreement].into_iter().flatten().min() else { return };
+        let Some(deadline) = [core.next_deadline(), agreement].into_iter().flatten().min() else { return };
         let own_now = self.nodes[node].now(self.now);
         // Never at once again: a core that is due now was just asked.
-        let at = self.now + due.since(own_now).max(Span::from_micros(1));
-        self.dues[node] = Some(at);
-        self.due.insert((at, node));
+        let at = self.now + deadline.since(own_now).max(Span::from_micros(1));
+        self.node_deadlines[node] = Some(at);
+        self.deadlines.insert((at, node));
     }
 }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -36,7 +36,7 @@
         if !is_for_discovery(call) {
             return response(404, &[], "");
         }
-        Self::later(&self.0.0.lock().unwrap(), query_param(call, "after"))
+        Self::events_after(&self.0.0.lock().unwrap(), query_param(call, "after"))
     }
 
     /// All after a number; waits for the first of them as long as the call says.
@@ -48,13 +48,13 @@
             (query_param(call, "after"), Duration::from_millis(query_param(call, "patience")));
         let none = |events: &mut Vec<Value>| events.iter().all(|event| event["no"].as_u64() <= Some(after));
         let events = self.0.1.wait_timeout_while(self.0.0.lock().unwrap(), patience, none).unwrap().0;
-        Self::later(&events, after)
+        Self::events_after(&events, after)
     }
 
-    fn later(events: &[Value], after: u64) -> Response {
-        let later = events.iter().filter(|event| event["no"].as_u64() > Some(after));
+    fn events_after(events: &[Value], after: u64) -> Response {
+        let events_after = events.iter().filter(|event| event["no"].as_u64() > Some(after));
         let last = events.iter().filter_map(|event| event["no"].as_u64()).max();
-        response(200, &[], &json!({"no": last, "items": later.collect::<Vec<_>>()}).to_string())
+        response(200, &[], &json!({"no": last, "items": events_after.collect::<Vec<_>>()}).to_string())
     }
 }
 
--- a/crates/standins/src/engines.rs
+++ b/crates/standins/src/engines.rs
@@ -13,7 +13,7 @@
 use crate::TEST_TIMEOUT;
 
 /// Bytes that end a line of a head.
-const LINE_END: usize = 2;
+const LINE_END_BYTES: usize = 2;
 
 /// A call that a stand-in took in.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// How many bytes it took on the connection.
     pub fn size(&self) -> usize {
         let lines = self.fields.iter().chain([&self.line]);
-        lines.map(|line| line.len() + LINE_END).sum::<usize>() + LINE_END + self.body.len()
+        lines.map(|line| line.len() + LINE_END_BYTES).sum::<usize>() + LINE_END_BYTES + self.body.len()
     }
 }
 
@@ -71,7 +71,7 @@
 pub struct StandinServer {
     pub address: SocketAddr,
     calls: Receiver<Call>,
-    open: Arc<Open>,
+    open: Arc<Sockets>,
 }
 
 impl StandinServer {
@@ -84,18 +84,18 @@
         listener: TcpListener, answer: impl FnMut(&Call) -> Response + Send + 'static,
     ) -> Self {
         let address = listener.local_addr().unwrap();
-        let (answer, (passed, calls)) = (Arc::new(Mutex::new(answer)), mpsc::channel());
-        let open = Arc::new(Open { listener, streams: Mutex::default() });
+        let (answer, (call_sender, calls)) = (Arc::new(Mutex::new(answer)), mpsc::channel());
+        let open = Arc::new(Sockets { listener, streams: Mutex::default() });
         let kept = open.clone();
         thread::spawn(move || {
             for (connection, stream) in open.listener.incoming().enumerate() {
                 let Ok(stream) = stream else { break };
                 open.streams.lock().unwrap().insert(connection, stream.try_clone().unwrap());
-                let (answer, passed, open) = (answer.clone(), passed.clone(), open.clone());
+                let (answer, call_sender, open) = (answer.clone(), call_sender.clone(), open.clone());
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
-                    while let Some(call) = take_call(&mut stream, connection) {
-                        let _ = passed.send(call.clone());
+                    while let Some(call) = read_call(&mut stream, connection) {
+                        let _ = call_sender.send(call.clone());
                         let says = answer.lock().unwrap()(&call);
                         let says = match says {
                             Response::EndProcess => return open.close(),
@@ -105,7 +105,7 @@
                             }
                             says => says,
                         };
-                        if !reply(stream.get_mut(), says) {
+                        if !send_response(stream.get_mut(), says) {
                             break;
                         }
                     }
@@ -149,13 +149,13 @@
 }
 
 /// The sockets of a stand-in.
-struct Open {
+struct Sockets {
     listener: TcpListener,
     /// By connection; emptied by their ends.
     streams: Mutex<HashMap<usize, TcpStream>>,
 }
 
-impl Open {
+impl Sockets {
     fn refuse(&self) {
         // It fails where the port is closed already.
         let _ = SockRef::from(&self.listener).shutdown(Shutdown::Both);
@@ -198,7 +198,7 @@
     }
 }
 
-fn take_call(stream: &mut BufReader<TcpStream>, connection: usize) -> Option<Call> {
+fn read_call(stream: &mut BufReader<TcpStream>, connection: usize) -> Option<Call> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -217,16 +217,16 @@
 }
 
 /// Whether the connection goes on.
-fn reply(stream: &mut TcpStream, says: Response) -> bool {
+fn send_response(stream: &mut TcpStream, says: Response) -> bool {
     if let Response::Delayed(after, then) = says {
         thread::sleep(after);
-        return reply(stream, *then);
+        return send_response(stream, *then);
     }
-    let (status, fields, body, goes_on) = match says {
+    let (status, fields, body, keep_open) = match says {
         Response::Full(status, fields, body) => (status, fields, body, true),
         Response::FullThenClose(status, fields, body) => (status, fields, body, false),
         Response::InPieces(status, fields, body, piece, gap) => {
-            for part in framed(status, &fields, &body).chunks(piece.max(1)) {
+            for part in encode_response(status, &fields, &body).chunks(piece.max(1)) {
                 if stream.write_all(part).is_err() {
                     return false;
                 }
@@ -243,11 +243,11 @@
         Response::NoResponse => return true,
         Response::Delayed(..) | Response::ClosePort(..) => unreachable!("said above"),
     };
-    stream.write_all(&framed(status, &fields, &body)).is_ok() && goes_on
+    stream.write_all(&encode_response(status, &fields, &body)).is_ok() && keep_open
 }
 
 /// The bytes of an answer.
-pub(crate) fn framed(status: u16, fields: &[String], body: &[u8]) -> Vec<u8> {
+pub(crate) fn encode_response(status: u16, fields: &[String], body: &[u8]) -> Vec<u8> {
     let fields: String = fields.iter().map(|field| format!("{field}\r\n")).collect();
     let head = format!("HTTP/1.1 {status} x\r\n{fields}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -32,8 +32,8 @@
 impl Fault {
     /// Nothing goes between two sides, either way.
     pub fn cut(one: &EndpointSet, other: &EndpointSet, millis: u64) -> Self {
-        let there = (one.clone(), other.clone(), Way::CUT);
-        Fault::Lay(vec![there, (other.clone(), one.clone(), Way::CUT)], millis)
+        let outbound = (one.clone(), other.clone(), Way::CUT);
+        Fault::Lay(vec![outbound, (other.clone(), one.clone(), Way::CUT)], millis)
     }
 }
 
@@ -48,14 +48,14 @@
     /// One fault of each kind, in an order from the seed; seven in ten routers are killed, four in ten engines replaced,
     /// the routers told to end a tenth at a time.
     pub fn draw(seed: u64, routers: usize, engines: usize) -> Self {
-        let mut chance = Pcg32::seed_from_u64(seed);
-        let mut some = |of: usize, share: f64| {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let mut sample = |of: usize, share: f64| {
             let mut all: Vec<usize> = (0..of).collect();
-            all.shuffle(&mut chance);
+            all.shuffle(&mut rng);
             all.truncate(((of as f64 * share).round() as usize).max(1));
             all
         };
-        let (killed, replaced, all) = (some(routers, 0.7), some(engines, 0.4), some(routers, 1.0));
+        let (killed, replaced, all) = (sample(routers, 0.7), sample(engines, 0.4), sample(routers, 1.0));
         let bad = (0..engines).find(|engine| !replaced.contains(engine)).unwrap_or(0);
         let mut faults = vec![
             Fault::Kill(killed),
@@ -65,26 +65,26 @@
             Fault::Replace(replaced),
             Fault::Bad(bad),
         ];
-        faults.shuffle(&mut chance);
-        Self::with_pauses(seed, faults, chance)
+        faults.shuffle(&mut rng);
+        Self::with_pauses(seed, faults, rng)
     }
 
     /// So many faults of the ways between zones, in an order from the seed: cuts both ways and one way, a slow and unsteady
     /// way, resets under requests, beside a kill, a pause, or a bulletin that moves. A cut is shorter than `longest`
     /// milliseconds.
     pub fn draw_network_faults(
-        seed: u64, count: usize, zones: &[String], routers: usize, longest: u64,
+        seed: u64, count: usize, zones: &[String], routers: usize, max_cut_ms: u64,
     ) -> Self {
-        let mut chance = Pcg32::seed_from_u64(seed);
+        let mut rng = Pcg32::seed_from_u64(seed);
         let faults = (0..count).map(|_| {
-            let first = chance.random_range(0..zones.len());
-            let other = (first + chance.random_range(1..zones.len().max(2))) % zones.len();
+            let first = rng.random_range(0..zones.len());
+            let other = (first + rng.random_range(1..zones.len().max(2))) % zones.len();
             let (one, other) =
                 (EndpointSet::Zone(zones[first].clone()), EndpointSet::Zone(zones[other].clone()));
-            let router = chance.random_range(0..routers);
-            let span = chance.random_range(longest / 4..longest);
+            let router = rng.random_range(0..routers);
+            let span = rng.random_range(max_cut_ms / 4..max_cut_ms);
             let unsteady = Way { delay: (1, 60), loss: 0.3, twice: 0.2, ..Way::default() };
-            match chance.random_range(0..8) {
+            match rng.random_range(0..8) {
                 0 | 1 => Fault::cut(&one, &other, span),
                 2 => Fault::Lay(vec![(one, other, Way::CUT)], span),
                 3 => Fault::Lay(vec![(one.clone(), other.clone(), unsteady), (other, one, unsteady)], span),
@@ -95,26 +95,26 @@
             }
         });
         let faults = faults.collect();
-        Self::with_pauses(seed, faults, chance)
+        Self::with_pauses(seed, faults, rng)
     }
 
-    fn with_pauses(seed: u64, faults: Vec<Fault>, mut chance: Pcg32) -> Self {
-        let faults = faults.into_iter().map(|fault| (fault, chance.random_range(100..400))).collect();
+    fn with_pauses(seed: u64, faults: Vec<Fault>, mut rng: Pcg32) -> Self {
+        let faults = faults.into_iter().map(|fault| (fault, rng.random_range(100..400))).collect();
         Self { seed, faults }
     }
 }
 
 /// What is left of a failing schedule when one fault after another is taken out, as long as it goes on failing.
 pub fn shrink(schedule: &Schedule, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
-    let mut least = schedule.clone();
-    let mut at = least.faults.len();
+    let mut smallest = schedule.clone();
+    let mut at = smallest.faults.len();
     while at > 0 {
         at -= 1;
-        let mut fewer = least.clone();
-        fewer.faults.remove(at);
-        if fails(&fewer) {
-            least = fewer;
+        let mut candidate = smallest.clone();
+        candidate.faults.remove(at);
+        if fails(&candidate) {
+            smallest = candidate;
         }
     }
-    least
+    smallest
 }
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -2,12 +2,12 @@
 //! router, a schedule of faults, and the rules counted over all processes together.
 
 mod effects;
+mod gossip;
 mod judge;
 mod overlap;
 mod parties;
 mod queries;
 mod stops;
-mod talk;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-use self::judge::Seen;
+use self::gossip::{gossip_arguments, write_voter_set};
+use self::judge::Observations;
 pub use self::judge::Tally;
 pub use self::overlap::PlanOutcome;
-use self::parties::{Caller, Feed, Place, feed, line};
-use self::talk::{order, talking};
+use self::parties::{Caller, FleetEngine, RouterDiscovery, engine_entry, start_discovery};
 use crate::TEST_TIMEOUT;
 use crate::discovery::DiscoveryEvents;
 use crate::faults::{Fault, Schedule};
@@ -35,28 +35,28 @@
 use crate::troubles::{DiscoveryMode, EngineMode};
 
 /// The work that each job is told to be, in milliseconds of one thread.
-const COST: u64 = 400;
+const JOB_COST_MS: u64 = 400;
 /// How long a caller waits for an answer, as the router is told.
-const WAIT: u32 = 5_000;
+const CLIENT_WAIT_MS: u32 = 5_000;
 /// An answer later than this has not come: the wait, and what a slow machine may add.
-const ANSWERED: Duration = Duration::from_secs(15);
+const ANSWER_LIMIT: Duration = Duration::from_secs(15);
 /// Between an answer and the caller's next job, with up to so many routers; with more, as much longer.
-const BETWEEN: Duration = Duration::from_millis(30);
-const USUAL: usize = 10;
+const CALLER_PAUSE: Duration = Duration::from_millis(30);
+const ROUTERS_AT_BASE_PAUSE: usize = 10;
 /// Callers at each router, each with one job at a time.
-const CALLERS: usize = 3;
+const CALLERS_PER_ROUTER: usize = 3;
 
 /// What the settings of such a fleet promise, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 4_000;
 pub const FALL_MS: u64 = 2_000;
 /// How long a key rests behind a load that may still run.
-const TURN_GAP: u64 = 300;
+const TURN_GAP_MS: u64 = 300;
 /// How long a voter's word counts.
 pub const LEASE_MS: u64 = 3_000;
-const FACTOR: f64 = 2.0;
+const OVERLOAD_FACTOR: f64 = 2.0;
 const START_CAPACITY: f64 = 0.3;
-const COLD: Duration = Duration::from_secs(60);
-const CORES: f64 = 8.0;
+const COLD_PERIOD: Duration = Duration::from_secs(60);
+const ENGINE_CORES: f64 = 8.0;
 
 /// How a fleet is laid out. Routers and engines are dealt to the zones in turn; callers and bulletins stand in their
 /// router's zone.
@@ -81,17 +81,8 @@
     /// One zone, no talk.
     pub fn single_zone(routers: usize, engines: usize) -> Self {
         let zones = vec![("a".into(), "r".into())];
-        let (talk, voters, ordered, failing_calls, seed) = (false, 0, false, false, 0);
-        Self {
-            routers,
-            engines,
-            zones,
-            gossip: talk,
-            voters,
-            ordered,
-            failing_system_calls: failing_calls,
-            seed,
-        }
+        let (gossip, voters, ordered, failing_calls, seed) = (false, 0, false, false, 0);
+        Self { routers, engines, zones, gossip, voters, ordered, failing_system_calls: failing_calls, seed }
     }
 
     /// So many zones, `z0` and on, two to a region, `r0` and on.
@@ -113,24 +104,25 @@
     layout: Layout,
     pub relays: Relays,
     routers: Vec<Mutex<RouterProcess>>,
-    engines: Mutex<Vec<Place>>,
+    engines: Mutex<Vec<FleetEngine>>,
     /// Of the last event of discovery.
-    number: Mutex<u64>,
-    feeds: Vec<Mutex<Feed>>,
+    last_event: Mutex<u64>,
+    discoveries: Vec<Mutex<RouterDiscovery>>,
     /// By router, where discovery was before it moved, as long as the router can't read where it is.
-    left_feeds: Mutex<Vec<(usize, Feed)>>,
+    old_discoveries: Mutex<Vec<(usize, RouterDiscovery)>>,
     discovery: Arc<Mutex<DiscoveryMode>>,
     /// By router, where their calls can fail.
     preloads: BTreeMap<usize, Preload>,
-    seen: Arc<Mutex<Seen>>,
-    over: Arc<AtomicBool>,
+    observations: Arc<Mutex<Observations>>,
+    stopped: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
 }
 
 impl Fleet {
     /// A fleet of `program`, with callers at each router; all files go to `folder`.
     pub fn start(program: &str, folder: &Path, layout: Layout) -> Self {
-        let (seen, relays): (Arc<Mutex<Seen>>, Relays) = (Arc::default(), Relays::new(layout.seed));
+        let (observations, relays): (Arc<Mutex<Observations>>, Relays) =
+            (Arc::default(), Relays::new(layout.seed));
         let place = |name: &str, number| {
             let (zone, region) = layout.zone(number);
             relays.add_party(name, zone, region);
@@ -139,41 +131,44 @@
             ["n", "b", "c"].iter().for_each(|kind| place(&format!("{kind}{router}"), router));
         }
         (0..layout.engines).for_each(|engine| place(&format!("s-{engine}"), engine));
-        let engines: Vec<Place> = (0..layout.engines).map(|at| parties::place(at, seen.clone())).collect();
+        let engines: Vec<FleetEngine> =
+            (0..layout.engines).map(|at| parties::start_engine(at, observations.clone())).collect();
         {
-            let mut seen = seen.lock().unwrap();
-            (seen.ordered, seen.routers) = (layout.ordered, layout.routers);
+            let mut observations = observations.lock().unwrap();
+            (observations.ordered, observations.routers) = (layout.ordered, layout.routers);
         }
         let discovery = Arc::new(Mutex::new(DiscoveryMode::Well));
         let mut preloads = BTreeMap::new();
-        let talk = if layout.gossip { talking(&layout, folder, &relays) } else { Vec::new() };
-        let (mut feeds, mut routers) = (Vec::new(), Vec::new());
+        let gossip = if layout.gossip { gossip_arguments(&layout, folder, &relays) } else { Vec::new() };
+        let (mut discoveries, mut routers) = (Vec::new(), Vec::new());
         for router in 0..layout.routers {
             let members: Vec<Value> = (0..layout.engines)
-                .map(|at| line(&layout, &relays, router, at, &engines[at], "SERVING", 0))
+                .map(|at| engine_entry(&layout, &relays, router, at, &engines[at], "SERVING", 0))
                 .collect();
             let events = DiscoveryEvents::default();
             events.add(1, members.clone());
-            let feed = feed(events, discovery.clone());
-            let at = relays.relay_address(&format!("n{router}"), &format!("b{router}"), feed.standin.address);
-            let mut given: Value =
+            let feed = start_discovery(events, discovery.clone());
+            let at = relays.relay_address(&format!("n{router}"), &format!("b{router}"), feed.server.address);
+            let mut config: Value =
                 serde_json::from_str(&router_config(&[], at, 512)).expect("a configuration");
-            given["known"]["items"][0]["roster"]["members"] = json!(members);
-            let settings = &mut given["settings"];
+            config["known"]["items"][0]["roster"]["members"] = json!(members);
+            let settings = &mut config["settings"];
             (settings["replicasOfMe"], settings["myNumber"]) = (json!(layout.routers), json!(router));
             (settings["zone"], settings["zones"]) =
                 (json!(layout.zone(router).0), json!(layout.zone_names()));
-            let rules = &mut settings["obligations"];
-            (rules["fallUs"], rules["stopSendingWithinUs"]) =
+            let obligations = &mut settings["obligations"];
+            (obligations["fallUs"], obligations["stopSendingWithinUs"]) =
                 (json!(FALL_MS * 1000), json!(DRAIN_GRACE_MS * 1000));
-            (rules["overloadFactor"], rules["startCapacity"]) = (json!(FACTOR), json!(START_CAPACITY));
-            (rules["coldUs"], given["limits"]["memory_mb"]) = (json!(COLD.as_micros() as u64), json!(32));
+            (obligations["overloadFactor"], obligations["startCapacity"]) =
+                (json!(OVERLOAD_FACTOR), json!(START_CAPACITY));
+            (obligations["coldUs"], config["limits"]["memory_mb"]) =
+                (json!(COLD_PERIOD.as_micros() as u64), json!(32));
             if layout.ordered {
-                given["settings"]["classes"][1]["keepOrder"] = json!(true);
-                given["settings"]["obligations"]["turnGapUs"] = json!(TURN_GAP * 1000);
+                config["settings"]["classes"][1]["keepOrder"] = json!(true);
+                config["settings"]["obligations"]["turnGapUs"] = json!(TURN_GAP_MS * 1000);
             }
-            let arguments = talk.get(router).cloned().unwrap_or_default();
-            let (name, told) = (format!("n{router}"), given.to_string());
+            let arguments = gossip.get(router).cloned().unwrap_or_default();
+            let (name, told) = (format!("n{router}"), config.to_string());
             let preload = layout.failing_system_calls.then(|| Preload::build(folder, &name));
             routers.push(match preload {
                 Some(Ok(preload)) => {
@@ -182,23 +177,24 @@
                     preloads.insert(router, preload);
                     process
                 }
-                Some(Err(missing)) => {
-                    eprintln!("{missing}; these troubles are left out");
+                Some(Err(error)) => {
+                    eprintln!("{error}; these troubles are left out");
                     RouterProcess::start_with_log_pipe(None, program, folder, &name, &told)
                 }
                 None => RouterProcess::start_with_arguments(program, &arguments, folder, &name, &told),
             });
-            feeds.push(feed);
+            discoveries.push(feed);
         }
         routers.iter().for_each(RouterProcess::wait_until_ready);
-        let over: Arc<AtomicBool> = Arc::default();
-        let callers = (0..routers.len() * CALLERS).map(|number| {
-            let (router, seen, over) = (number % routers.len(), seen.clone(), over.clone());
-            let pause = BETWEEN * routers.len().div_ceil(USUAL) as u32;
+        let stopped: Arc<AtomicBool> = Arc::default();
+        let callers = (0..routers.len() * CALLERS_PER_ROUTER).map(|number| {
+            let (router, observations, stopped) =
+                (number % routers.len(), observations.clone(), stopped.clone());
+            let pause = CALLER_PAUSE * routers.len().div_ceil(ROUTERS_AT_BASE_PAUSE) as u32;
             let (from, to) = (format!("c{router}"), format!("n{router}"));
             let at = relays.relay_address(&from, &to, routers[router].address);
             let caller = Caller { router, number, at, pause };
-            thread::spawn(move || parties::call(caller, &seen, &over))
+            thread::spawn(move || parties::run_caller(caller, &observations, &stopped))
         });
         let callers = callers.collect();
         Self {
@@ -206,13 +202,13 @@
             relays,
             routers: routers.into_iter().map(Mutex::new).collect(),
             engines: Mutex::new(engines),
-            number: Mutex::new(1),
-            feeds: feeds.into_iter().map(Mutex::new).collect(),
-            left_feeds: Mutex::default(),
+            last_event: Mutex::new(1),
+            discoveries: discoveries.into_iter().map(Mutex::new).collect(),
+            old_discoveries: Mutex::default(),
             discovery,
             preloads,
-            seen,
-            over,
+            observations,
+            stopped,
             callers,
         }
     }
@@ -222,9 +218,9 @@
         for (fault, pause) in &schedule.faults {
             match fault {
                 Fault::Kill(routers) => self.kill_and_restart(routers),
-                Fault::Roll(routers) => routers.iter().for_each(|router| self.roll(*router)),
-                Fault::Pause(router, millis) => self.halt(&[*router], *millis),
-                Fault::Move => self.relocate(),
+                Fault::Roll(routers) => routers.iter().for_each(|router| self.restart_gracefully(*router)),
+                Fault::Pause(router, millis) => self.pause(&[*router], *millis),
+                Fault::Move => self.move_discovery(),
                 Fault::Replace(engines) => self.replace_engines(engines),
                 Fault::Bad(engine) => {
                     *self.engines.lock().unwrap()[*engine].mode.lock().unwrap() = EngineMode::Fails;
@@ -235,15 +231,15 @@
                     self.relays.heal();
                 }
                 Fault::Reset(from, to) => _ = self.relays.reset(from, to),
-                Fault::Halt(routers, millis) => self.halt(routers, *millis),
+                Fault::Halt(routers, millis) => self.pause(routers, *millis),
             }
             thread::sleep(Duration::from_millis(*pause));
         }
     }
 
     /// Routers stand still for so many milliseconds.
-    fn halt(&self, routers: &[usize], millis: u64) {
-        self.seen.lock().unwrap().stood.extend(routers);
+    fn pause(&self, routers: &[usize], millis: u64) {
+        self.observations.lock().unwrap().paused.extend(routers);
         routers.iter().for_each(|router| self.signal(*router, Signal::STOP));
         thread::sleep(Duration::from_millis(millis));
         routers.iter().for_each(|router| self.signal(*router, Signal::CONT));
@@ -256,8 +252,8 @@
         routers.iter().for_each(|router| self.routers[*router].lock().unwrap().wait_until_ready());
     }
 
-    fn roll(&self, router: usize) {
-        self.seen.lock().unwrap().ended.push((router, Instant::now()));
+    fn restart_gracefully(&self, router: usize) {
+        self.observations.lock().unwrap().told_to_end.push((router, Instant::now()));
         let mut process = self.routers[router].lock().unwrap();
         process.signal(Signal::TERM);
         let status = process.wait();
@@ -269,26 +265,26 @@
 
     /// Starts a router from nothing, told the bulletin so far.
     pub fn start_router(&self, router: usize) {
-        let known = self.feeds[router].lock().unwrap().events.all();
+        let known = self.discoveries[router].lock().unwrap().events.all();
         let mut process = self.routers[router].lock().unwrap();
-        process.change_config(|given| given["known"] = known);
+        process.change_config(|config| config["known"] = known);
         process.start_again();
         drop(process);
-        self.close_left_feeds(router);
+        self.close_old_discoveries(router);
     }
 
     /// Every router's bulletin moves; the old ones tell nothing further, but to a router that can't read yet where the new one is.
-    fn relocate(&self) {
-        for (number, (router, old)) in self.routers.iter().zip(&self.feeds).enumerate() {
+    fn move_discovery(&self) {
+        for (number, (router, old)) in self.routers.iter().zip(&self.discoveries).enumerate() {
             let mut old = old.lock().unwrap();
-            let new = feed(old.events.clone(), self.discovery.clone());
+            let new = start_discovery(old.events.clone(), self.discovery.clone());
             let (from, to) = (format!("n{number}"), format!("b{number}"));
-            let at = self.relays.relay_address(&from, &to, new.standin.address);
+            let at = self.relays.relay_address(&from, &to, new.server.address);
             let old = std::mem::replace(&mut *old, new);
             let router = router.lock().unwrap();
-            router.change_config(|given| given["bulletin"] = json!(at.to_string()));
+            router.change_config(|config| config["bulletin"] = json!(at.to_string()));
             if router.is_config_hidden() {
-                self.left_feeds.lock().unwrap().push((number, old));
+                self.old_discoveries.lock().unwrap().push((number, old));
                 continue;
             }
             if router.id().is_some() {
@@ -299,54 +295,54 @@
     }
 
     /// A router was told where discovery is: what it left tells nothing further.
-    fn close_left_feeds(&self, router: usize) {
-        let mut left = self.left_feeds.lock().unwrap();
+    fn close_old_discoveries(&self, router: usize) {
+        let mut left = self.old_discoveries.lock().unwrap();
         for (_, feed) in left.extract_if(.., |(of, _)| *of == router) {
             feed.open.store(false, Ordering::Relaxed);
         }
     }
 
     /// New engines come, cold.
-    fn add_cold(&self, count: usize) {
+    fn add_cold_engines(&self, count: usize) {
         let mut engines = self.engines.lock().unwrap();
         let first = engines.len();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         for number in first..first + count {
             let (zone, region) = self.layout.zone(number);
             self.relays.add_party(&format!("s-{number}"), zone, region);
-            engines.push(parties::place(number, self.seen.clone()));
-            self.seen.lock().unwrap().cold.insert(number, Instant::now());
+            engines.push(parties::start_engine(number, self.observations.clone()));
+            self.observations.lock().unwrap().cold.insert(number, Instant::now());
         }
         drop(engines);
         let new: Vec<usize> = (first..first + count).collect();
-        self.tell(&new, "SERVING", now);
+        self.announce(&new, "SERVING", now);
     }
 
     /// Engines drain and go, and new ones come in their places, cold.
     pub fn replace_engines(&self, engines: &[usize]) {
-        self.add_cold(engines.len());
+        self.add_cold_engines(engines.len());
         for phase in ["DRAINING", "DELETED"] {
-            self.tell(engines, phase, 0);
-            let mut seen = self.seen.lock().unwrap();
-            engines.iter().for_each(|at| _ = seen.drained.entry(*at).or_insert_with(Instant::now));
+            self.announce(engines, phase, 0);
+            let mut observations = self.observations.lock().unwrap();
+            engines.iter().for_each(|at| _ = observations.drained.entry(*at).or_insert_with(Instant::now));
         }
     }
 
     /// Tells every router of engines in such a phase.
-    fn tell(&self, engines: &[usize], phase: &str, up_since: u64) {
-        let mut number = self.number.lock().unwrap();
+    fn announce(&self, engines: &[usize], phase: &str, up_since: u64) {
+        let mut number = self.last_event.lock().unwrap();
         *number += 1;
         let places = self.engines.lock().unwrap();
-        for (router, feed) in self.feeds.iter().enumerate() {
+        for (router, feed) in self.discoveries.iter().enumerate() {
             let (layout, relays) = (&self.layout, &self.relays);
-            let told = |at: &usize| line(layout, relays, router, *at, &places[*at], phase, up_since);
+            let told = |at: &usize| engine_entry(layout, relays, router, *at, &places[*at], phase, up_since);
             feed.lock().unwrap().events.add(*number, engines.iter().map(told).collect());
         }
     }
 
     /// The operator orders another epoch, and tells one router.
     pub fn issue_voter_set(&self, folder: &Path, epoch: u64, router: usize) {
-        order(folder, epoch, self.layout.voters);
+        write_voter_set(folder, epoch, self.layout.voters);
         self.signal(router, Signal::HUP);
     }
 
@@ -354,7 +350,7 @@
     pub fn kill_router(&self, router: usize) {
         let mut process = self.routers[router].lock().unwrap();
         process.kill();
-        self.seen.lock().unwrap().killed.push((router, Instant::now()));
+        self.observations.lock().unwrap().killed.push((router, Instant::now()));
     }
 
     pub fn signal(&self, router: usize, signal: Signal) {
@@ -412,7 +408,7 @@
 
     /// Lets time pass, until so long after the last notice to drain that its grace is over by as much again.
     pub fn wait_for_drains(&self) {
-        let last = self.seen.lock().unwrap().drained.values().max().copied();
+        let last = self.observations.lock().unwrap().drained.values().max().copied();
         let until = last.map_or(Instant::now(), |last| last + Duration::from_millis(2 * DRAIN_GRACE_MS));
         thread::sleep(until.saturating_duration_since(Instant::now()));
     }
@@ -420,8 +416,8 @@
     /// Waits until every router has done a job asked for from now on, then ends the callers and counts; the first
     /// broken rule, if any, in words.
     pub fn verdict(mut self) -> Result<Tally, String> {
-        self.await_service()?;
-        self.over.store(true, Ordering::Relaxed);
+        self.wait_for_service()?;
+        self.stopped.store(true, Ordering::Relaxed);
         for caller in self.callers.drain(..) {
             caller.join().map_err(|_| "a caller met what no answer may be".to_owned())?;
         }
@@ -436,26 +432,30 @@
                 return Err(format!("{}: {line}", router.name));
             }
         }
-        let mut seen = self.seen.lock().unwrap();
-        seen.ways_cut = self.relays.ever_had_ways();
-        judge::all_rules(&seen).map_err(|broken| {
-            let told = broken.jobs.iter().flat_map(|id| self.on_job(id));
-            let kills = format!("killed behind the order to end: {:?}", seen.killed_behind_their_end);
+        let mut observations = self.observations.lock().unwrap();
+        observations.had_ways = self.relays.ever_had_ways();
+        judge::check_all_rules(&observations).map_err(|broken| {
+            let told = broken.jobs.iter().flat_map(|id| self.log_lines_of_job(id));
+            let kills = format!("killed behind the order to end: {:?}", observations.killed_while_ending);
             let rests = format!("the relays stood: {:?}; now: {:?}", self.relays.rests(), Instant::now());
-            format!("{}\n{}\n{kills}\n{rests}", broken.words, told.collect::<Vec<_>>().join("\n"))
+            format!("{}\n{}\n{kills}\n{rests}", broken.message, told.collect::<Vec<_>>().join("\n"))
         })?;
-        let done = seen.answers.iter().filter(|asked| matches!(asked.got, Ok(true))).count();
-        let cold = seen.posts.iter().filter(|post| seen.cold.contains_key(&post.engine)).count();
-        Ok(Tally { asked: seen.answers.len(), done, to_cold: cold })
+        let done = observations.answers.iter().filter(|asked| matches!(asked.result, Ok(true))).count();
+        let cold =
+            observations.arrivals.iter().filter(|post| observations.cold.contains_key(&post.engine)).count();
+        Ok(Tally { asked: observations.answers.len(), done, to_cold: cold })
     }
 
-    fn await_service(&self) -> Result<(), String> {
+    fn wait_for_service(&self) -> Result<(), String> {
         let (from, by) = (Instant::now(), Instant::now() + TEST_TIMEOUT);
-        let serves = |seen: &Seen, router: usize| {
-            seen.answers.iter().any(|a| a.router == router && a.at >= from && matches!(a.got, Ok(true)))
+        let serves = |observations: &Observations, router: usize| {
+            observations
+                .answers
+                .iter()
+                .any(|a| a.router == router && a.at >= from && matches!(a.result, Ok(true)))
         };
         for (router, process) in self.routers.iter().enumerate() {
-            while !serves(&self.seen.lock().unwrap(), router) {
+            while !serves(&self.observations.lock().unwrap(), router) {
                 if Instant::now() > by {
                     return Err(format!("{} does not serve in the end", process.lock().unwrap().name));
                 }
@@ -466,7 +466,7 @@
     }
 
     /// The lines of all logs on a job.
-    fn on_job(&self, id: &str) -> Vec<String> {
+    fn log_lines_of_job(&self, id: &str) -> Vec<String> {
         self.routers.iter().flat_map(|router| router.lock().unwrap().log_lines_of_job(id)).collect()
     }
 }
--- a/crates/standins/src/fleet/talk.rs
+++ b/crates/standins/src/fleet/gossip.rs
@@ -16,14 +16,14 @@
 use crate::relays::Relays;
 
 /// The operator's order that the first routers vote.
-pub(super) fn order(folder: &Path, epoch: u64, voters: usize) {
+pub(super) fn write_voter_set(folder: &Path, epoch: u64, voters: usize) {
     let keys: Vec<[u8; 32]> = (0..voters).map(|router| secret_key(router as u64 + 1).public()).collect();
     let order = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("an order");
     fs::write(folder.join("order"), order.to_text()).expect("a file");
 }
 
 /// Keys, passes and operator files for all routers, and the addresses of their datagrams; what each one's command line says.
-pub(super) fn talking(layout: &Layout, folder: &Path, relays: &Relays) -> Vec<Vec<String>> {
+pub(super) fn gossip_arguments(layout: &Layout, folder: &Path, relays: &Relays) -> Vec<Vec<String>> {
     fs::create_dir_all(folder).expect("a folder");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let (from, until) = (Moment::from_micros(now - 60_000_000), Moment::from_micros(now + 3_600_000_000));
@@ -35,7 +35,7 @@
         .collect();
     let file = |name: String| folder.join(name).to_string_lossy().into_owned();
     if layout.voters > 0 {
-        order(folder, 1, layout.voters);
+        write_voter_set(folder, 1, layout.voters);
     }
     (0..layout.routers)
         .map(|router| {
--- a/crates/standins/src/fleet/overlap.rs
+++ b/crates/standins/src/fleet/overlap.rs
@@ -10,7 +10,7 @@
 use crate::troubles::{Plan, Timed, Trouble};
 
 /// A step of a plan that comes later than this is told.
-const PUNCTUAL: Duration = Duration::from_millis(50);
+const MAX_STEP_DELAY: Duration = Duration::from_millis(50);
 
 /// What came of a plan, as far as the rig goes.
 #[derive(Default)]
@@ -32,7 +32,7 @@
 
 impl Starter {
     /// Starts a router anew, and waits for that.
-    pub fn again(&self, router: usize) {
+    pub fn start_router(&self, router: usize) {
         let (done, started) = mpsc::channel();
         let _ = self.0.send(Start { router, done });
         let _ = started.recv();
@@ -43,17 +43,17 @@
     /// Plays a plan.
     pub fn run_plan(&self, plan: &Plan) -> PlanOutcome {
         let (starter, starts) = mpsc::channel();
-        let play = Play {
+        let run = PlanRun {
             fleet: self,
             start: Instant::now(),
             claims: Mutex::default(),
-            in_force: Mutex::default(),
-            played: Mutex::default(),
+            settings: Mutex::default(),
+            outcome: Mutex::default(),
         };
         thread::scope(|scope| {
             for (number, timed) in plan.troubles.iter().enumerate() {
-                let (play, starter) = (&play, Starter(starter.clone()));
-                scope.spawn(move || play.one(number, timed, &starter));
+                let (run, starter) = (&run, Starter(starter.clone()));
+                scope.spawn(move || run.run_trouble(number, timed, &starter));
             }
             drop(starter);
             for Start { router, done } in starts {
@@ -61,7 +61,7 @@
                 let _ = done.send(());
             }
         });
-        play.played.into_inner().unwrap()
+        run.outcome.into_inner().unwrap()
     }
 }
 
@@ -75,32 +75,32 @@
 }
 
 /// A plan that is played.
-pub(super) struct Play<'a> {
+pub(super) struct PlanRun<'a> {
     pub fleet: &'a Fleet,
     start: Instant,
     claims: Mutex<Claims>,
     /// Troubles by what they set; the last one is in force, and the one before comes back behind it.
-    in_force: Mutex<BTreeMap<String, Vec<(usize, Trouble)>>>,
-    played: Mutex<PlanOutcome>,
+    settings: Mutex<BTreeMap<String, Vec<(usize, Trouble)>>>,
+    outcome: Mutex<PlanOutcome>,
 }
 
-impl Play<'_> {
-    fn one(&self, number: usize, timed: &Timed, starter: &Starter) {
+impl PlanRun<'_> {
+    fn run_trouble(&self, number: usize, timed: &Timed, starter: &Starter) {
         let (trouble, due) = (&timed.trouble, self.start + Duration::from_millis(timed.at));
         sleep_until(due);
-        let Some(routers) = self.claim(trouble) else { return self.leave_out(trouble) };
-        self.note_late(trouble, "began", due);
+        let Some(routers) = self.claim(trouble) else { return self.skip(trouble) };
+        self.record_late(trouble, "began", due);
         let begun = Instant::now();
         if let Trouble::Stop { router, orders, .. } = trouble {
-            self.stop(*router, orders, begun, starter);
+            self.run_stop(*router, orders, begun, starter);
         } else if self.begin(number, trouble, &routers) {
-            self.note_late(trouble, "was begun", begun + trouble.beginning());
+            self.record_late(trouble, "was begun", begun + trouble.beginning());
             let over = begun + Duration::from_millis(trouble.span());
             sleep_until(over);
-            self.note_late(trouble, "ended", over);
+            self.record_late(trouble, "ended", over);
             self.end(number, trouble, &routers, starter);
         } else {
-            self.leave_out(trouble);
+            self.skip(trouble);
         }
         let mut claims = self.claims.lock().unwrap();
         routers.iter().for_each(|router| _ = claims.routers.remove(router));
@@ -122,9 +122,9 @@
 
     /// Whether it could begin.
     fn begin(&self, number: usize, trouble: &Trouble, routers: &[usize]) -> bool {
-        let Some(setting) = trouble.setting() else { return self.fleet.begin(trouble, routers) };
-        let mut in_force = self.in_force.lock().unwrap();
-        let begun = self.fleet.begin(trouble, routers);
+        let Some(setting) = trouble.setting() else { return self.fleet.begin_trouble(trouble, routers) };
+        let mut in_force = self.settings.lock().unwrap();
+        let begun = self.fleet.begin_trouble(trouble, routers);
         if begun {
             in_force.entry(setting).or_default().push((number, trouble.clone()));
         }
@@ -132,26 +132,28 @@
     }
 
     fn end(&self, number: usize, trouble: &Trouble, routers: &[usize], starter: &Starter) {
-        let Some(setting) = trouble.setting() else { return self.fleet.end(trouble, routers, starter) };
-        let mut in_force = self.in_force.lock().unwrap();
+        let Some(setting) = trouble.setting() else {
+            return self.fleet.end_trouble(trouble, routers, starter);
+        };
+        let mut in_force = self.settings.lock().unwrap();
         let all = in_force.entry(setting).or_default();
         all.retain(|(other, _)| *other != number);
         match all.last() {
-            Some((_, earlier)) => _ = self.fleet.begin(earlier, &[]),
-            None => self.fleet.end(trouble, routers, starter),
+            Some((_, earlier)) => _ = self.fleet.begin_trouble(earlier, &[]),
+            None => self.fleet.end_trouble(trouble, routers, starter),
         }
     }
 
-    fn leave_out(&self, trouble: &Trouble) {
-        self.played.lock().unwrap().skipped.insert(trouble.kind());
+    fn skip(&self, trouble: &Trouble) {
+        self.outcome.lock().unwrap().skipped.insert(trouble.kind());
     }
 
-    pub fn note_late(&self, trouble: &Trouble, what: &str, due: Instant) {
+    pub fn record_late(&self, trouble: &Trouble, what: &str, due: Instant) {
         let late = Instant::now().saturating_duration_since(due);
-        if late > PUNCTUAL {
+        if late > MAX_STEP_DELAY {
             let at = due.saturating_duration_since(self.start);
             let words = format!("{trouble:?} {what} {late:?} late, at {at:?}");
-            self.played.lock().unwrap().late_steps.push(words);
+            self.outcome.lock().unwrap().late_steps.push(words);
         }
     }
 }
--- a/crates/standins/src/fleet/parties.rs
+++ b/crates/standins/src/fleet/parties.rs
@@ -10,62 +10,67 @@
 
 use serde_json::{Value, json};
 
-use super::judge::{Asked, CALLER_DIGITS, CROSSING, Post, Seen, caller_of, is_load};
-use super::queries::{End, News};
-use super::{ANSWERED, COST, Layout, WAIT};
+use super::judge::{
+    AnsweredJob, CALLER_DIGITS, CLOSE_CROSSING_LIMIT, Observations, QueryArrival, caller_of, is_load,
+};
+use super::queries::{QueryEnd, QueryStatus};
+use super::{ANSWER_LIMIT, CLIENT_WAIT_MS, JOB_COST_MS, Layout};
 use crate::clients::{Client, receive_answer};
 use crate::discovery::{DiscoveryEvents, roster_member};
 use crate::engines::{Call, Response, StandinServer, response, result_page};
 use crate::relays::Relays;
-use crate::troubles::{DiscoveryMode, EngineMode, RudeClient};
+use crate::troubles::{DiscoveryMode, EngineMode, MisbehavingClient};
 
 /// Callers that leave their loads are numbered from here on, with up to so many others at each router.
-pub(super) const LEAVERS_FROM: u64 = 16;
+pub(super) const FIRST_LEAVER: u64 = 16;
 /// How long a load runs that its client leaves: longer than any may wait.
-const LEFT_RUN: Duration = Duration::from_millis(WAIT as u64 + 3_000);
+const ABANDONED_RUN_TIME: Duration = Duration::from_millis(CLIENT_WAIT_MS as u64 + 3_000);
 /// How long one query in eight runs, so that something is always out when a fault comes.
-const RUN: Duration = Duration::from_millis(900);
+const SLOW_RUN_TIME: Duration = Duration::from_millis(900);
 /// `ping` under the number 0.
 const PING: [u8; 10] = [0x94, 0x00, 0x00, 0xa4, b'p', b'i', b'n', b'g', 0x91, 0x80];
 /// How long a rude client rests, or waits for what it does not get.
-const RUDE_REST: Duration = Duration::from_millis(700);
+const MISBEHAVING_PAUSE: Duration = Duration::from_millis(700);
 /// How long clients wait that stay until the end, in milliseconds, and rest between requests.
-const STAY_WAIT: u32 = 3_000;
-const STAY_PAUSE: Duration = Duration::from_millis(15);
+const STAYING_WAIT_MS: u32 = 3_000;
+const STAYING_PAUSE: Duration = Duration::from_millis(15);
 /// When a client leaves its load, and a number of a job that runs for a while.
-const LEAVES_AFTER: Duration = Duration::from_millis(300);
-const SLOW: u64 = 0xa;
+const LEAVE_DELAY: Duration = Duration::from_millis(300);
+const SLOW_JOB_NUMBER: u64 = 0xa;
 /// A deadline that hardly leaves time for anything, in milliseconds.
-const TINY: u32 = 15;
+const TINY_DEADLINE_MS: u32 = 15;
 
-pub(super) struct Place {
+pub(super) struct FleetEngine {
     pub engine: StandinServer,
     pub mode: Arc<Mutex<EngineMode>>,
     /// Where each router reaches it.
-    pub ways: Mutex<HashMap<usize, SocketAddr>>,
+    pub addresses: Mutex<HashMap<usize, SocketAddr>>,
 }
 
 /// An engine that keeps book of what comes.
-pub(super) fn place(number: usize, seen: Arc<Mutex<Seen>>) -> Place {
+pub(super) fn start_engine(number: usize, observations: Arc<Mutex<Observations>>) -> FleetEngine {
     let mode = Arc::new(Mutex::new(EngineMode::Well));
-    let present = mode.clone();
+    let current_mode = mode.clone();
     let engine = StandinServer::start(move |call| {
-        let mode = *present.lock().unwrap();
-        answer(number, call, mode, &mut seen.lock().unwrap())
+        let mode = *current_mode.lock().unwrap();
+        answer(number, call, mode, &mut observations.lock().unwrap())
     });
-    Place { engine, mode, ways: Mutex::default() }
+    FleetEngine { engine, mode, addresses: Mutex::default() }
 }
 
 /// What such an engine says to a call.
-fn answer(engine: usize, call: &Call, mode: EngineMode, seen: &mut Seen) -> Response {
+fn answer(engine: usize, call: &Call, mode: EngineMode, observations: &mut Observations) -> Response {
     let now = Instant::now();
     let is_post = call.line.starts_with("POST");
-    let id =
-        if is_post { trace(call) } else { call.line.split(['/', ' ']).nth(4).unwrap_or_default().to_owned() };
+    let id = if is_post {
+        job_id_of(call)
+    } else {
+        call.line.split(['/', ' ']).nth(4).unwrap_or_default().to_owned()
+    };
     if is_post {
-        seen.posts.push(post(engine, call));
-        let runs = run(&id, seen.routers);
-        seen.queries.start(engine, &id, now, runs);
+        observations.arrivals.push(query_arrival(engine, call));
+        let runs = run_time(&id, observations.routers);
+        observations.queries.start(engine, &id, now, runs);
         if !runs.is_zero() {
             return response(202, &[], "");
         }
@@ -73,14 +78,14 @@
     let is_delete = call.line.starts_with("DELETE");
     // An engine that answers with an error did not give it up.
     if is_delete && mode != EngineMode::Fails {
-        seen.queries.end(engine, &id, now, End::Deleted);
+        observations.queries.end(engine, &id, now, QueryEnd::Deleted);
     }
-    let news = if is_delete { News::Done } else { seen.queries.ask(engine, &id, now) };
+    let status = if is_delete { QueryStatus::Done } else { observations.queries.poll(engine, &id, now) };
     match mode {
         EngineMode::Hangs => return Response::NoResponse,
         EngineMode::Cuts => return Response::CloseConnection,
         EngineMode::Garbles => return Response::RawKeepOpen("no answer at all\r\n\r\n".to_owned()),
-        EngineMode::Well if news == News::Runs => {
+        EngineMode::Well if status == QueryStatus::Running => {
             return Response::InPieces(202, vec![], vec![], 16, Duration::from_millis(20));
         }
         EngineMode::Well | EngineMode::Fails => {}
@@ -88,8 +93,8 @@
     if is_delete {
         return if mode == EngineMode::Fails { response(500, &[], "") } else { response(204, &[], "") };
     }
-    seen.queries.end(engine, &id, now, End::Written);
-    if mode == EngineMode::Fails || (news == News::Unknown && !is_probe(call)) {
+    observations.queries.end(engine, &id, now, QueryEnd::Written);
+    if mode == EngineMode::Fails || (status == QueryStatus::Unknown && !is_probe(call)) {
         response(500, &[], "")
     } else {
         result_page(call, &["a\tb\tc\n"])
@@ -101,16 +106,16 @@
 }
 
 /// How long a query runs: one in eight a while, those that their clients leave for longer than these may wait, others no time.
-fn run(id: &str, routers: usize) -> Duration {
-    let is_left = is_load(id) && caller_of(id) as u64 / routers.max(1) as u64 >= LEAVERS_FROM;
+fn run_time(id: &str, routers: usize) -> Duration {
+    let is_left = is_load(id) && caller_of(id) as u64 / routers.max(1) as u64 >= FIRST_LEAVER;
     match id.ends_with(['3', 'a']) {
-        true if is_left => LEFT_RUN,
-        true => RUN,
+        true if is_left => ABANDONED_RUN_TIME,
+        true => SLOW_RUN_TIME,
         false => Duration::ZERO,
     }
 }
 
-fn trace(call: &Call) -> String {
+fn job_id_of(call: &Call) -> String {
     field(call, "X-Trace: ").unwrap_or_default().to_owned()
 }
 
@@ -118,40 +123,42 @@
     call.fields.iter().find_map(|field| field.strip_prefix(name))
 }
 
-fn post(engine: usize, call: &Call) -> Post {
+fn query_arrival(engine: usize, call: &Call) -> QueryArrival {
     let millis = field(call, "X-Patience: ").and_then(|millis| millis.parse().ok()).unwrap_or(0);
-    Post { engine, id: trace(call), at: Instant::now(), patience: Duration::from_millis(millis) }
+    QueryArrival { engine, id: job_id_of(call), at: Instant::now(), time_left: Duration::from_millis(millis) }
 }
 
 /// An engine as one router is told of it: at the end of the passage between them.
-pub(super) fn line(
-    layout: &Layout, relays: &Relays, router: usize, number: usize, place: &Place, phase: &str, up_since: u64,
+pub(super) fn engine_entry(
+    layout: &Layout, relays: &Relays, router: usize, number: usize, engine: &FleetEngine, phase: &str,
+    up_since: u64,
 ) -> Value {
-    let mut ways = place.ways.lock().unwrap();
+    let mut addresses = engine.addresses.lock().unwrap();
     let (from, to) = (format!("n{router}"), format!("s-{number}"));
-    let at = *ways.entry(router).or_insert_with(|| relays.relay_address(&from, &to, place.engine.address));
+    let at =
+        *addresses.entry(router).or_insert_with(|| relays.relay_address(&from, &to, engine.engine.address));
     let mut member = roster_member(&to, at, phase);
     (member["up_since_ms"], member["locality"]) = (json!(up_since), json!(layout.zone(number).0));
     member
 }
 
 /// One router's discovery, which moves with a configuration. It names the engines as that router reaches them.
-pub(super) struct Feed {
+pub(super) struct RouterDiscovery {
     pub events: DiscoveryEvents,
     pub open: Arc<AtomicBool>,
-    pub standin: StandinServer,
+    pub server: StandinServer,
 }
 
 /// A discovery that tells these events, in the mode that all have in common.
-pub(super) fn feed(events: DiscoveryEvents, mode: Arc<Mutex<DiscoveryMode>>) -> Feed {
+pub(super) fn start_discovery(events: DiscoveryEvents, mode: Arc<Mutex<DiscoveryMode>>) -> RouterDiscovery {
     let open = Arc::new(AtomicBool::new(true));
     let (told, all) = (open.clone(), events.clone());
-    let standin = StandinServer::start(move |call: &Call| {
-        let present = *mode.lock().unwrap();
-        if !told.load(Ordering::Relaxed) || present == DiscoveryMode::Cuts {
+    let server = StandinServer::start(move |call: &Call| {
+        let current_mode = *mode.lock().unwrap();
+        if !told.load(Ordering::Relaxed) || current_mode == DiscoveryMode::Cuts {
             return Response::CloseConnection;
         }
-        match present {
+        match current_mode {
             DiscoveryMode::Silent => return Response::NoResponse,
             // As one that is crowded, it does not keep the call besides.
             DiscoveryMode::Late(millis) => {
@@ -162,7 +169,7 @@
         let answer = all.answer(call);
         if told.load(Ordering::Relaxed) { answer } else { Response::CloseConnection }
     });
-    Feed { events, open, standin }
+    RouterDiscovery { events, open, server }
 }
 
 /// Who asks, and of whom.
@@ -175,13 +182,13 @@
 
 /// A caller: one job after another, over a new connection where the old one ended; one in ten runs once. While its router has a crowd, a
 /// job whose connection is found closed within the protocol's 50 ms is sent again, once, under its id.
-pub(super) fn call(caller: Caller, seen: &Mutex<Seen>, over: &AtomicBool) {
+pub(super) fn run_caller(caller: Caller, observations: &Mutex<Observations>, stopped: &AtomicBool) {
     let (mut connection, mut number, mut count) = (None, 0, 0_u64);
-    let mut since = Instant::now();
-    let mut crossed: Option<String> = None;
-    while !over.load(Ordering::Relaxed) {
+    let mut connected_at = Instant::now();
+    let mut resent_id: Option<String> = None;
+    while !stopped.load(Ordering::Relaxed) {
         let Some(stream) = &mut connection else {
-            since = Instant::now();
+            connected_at = Instant::now();
             connection = connect(caller.at);
             (number, count) = (0, count + 1);
             if connection.is_none() {
@@ -191,26 +198,29 @@
         };
         number += 1;
         count += 1;
-        let is_again = crossed.is_some();
-        let id = crossed.take().unwrap_or_else(|| job_id(caller.number, count));
+        let is_resent = resent_id.is_some();
+        let id = resent_id.take().unwrap_or_else(|| job_id(caller.number, count));
         let text = format!("select 1 from sales_{}.x", count % 7);
         let class = if id.starts_with('f') { "load" } else { "look" };
         let asked = Instant::now();
-        let sent = stream.write_all(&request(number, class, &id, WAIT, &text));
-        let written = asked.elapsed();
-        let got = sent.and_then(|()| receive_answer(stream, number));
-        let (router, wait, took) = (caller.router, Duration::from_millis(WAIT.into()), asked.elapsed());
-        if got.is_err() {
+        let sent = stream.write_all(&request(number, class, &id, CLIENT_WAIT_MS, &text));
+        let write_time = asked.elapsed();
+        let result = sent.and_then(|()| receive_answer(stream, number));
+        let (router, wait, elapsed) =
+            (caller.router, Duration::from_millis(CLIENT_WAIT_MS.into()), asked.elapsed());
+        if result.is_err() {
             connection = None;
-            let is_crowded = seen.lock().unwrap().crowded.get(&router).is_some_and(|until| asked < *until);
-            if is_crowded && !is_again && took <= CROSSING {
-                crossed = Some(id);
+            let is_crowded =
+                observations.lock().unwrap().crowded_until.get(&router).is_some_and(|until| asked < *until);
+            if is_crowded && !is_resent && elapsed <= CLOSE_CROSSING_LIMIT {
+                resent_id = Some(id);
                 continue;
             }
         }
         let is_direct = false;
-        let asked = Asked { router, id, at: asked, wait, took, written, since, got, is_direct };
-        seen.lock().unwrap().answers.push(asked);
+        let asked =
+            AnsweredJob { router, id, at: asked, wait, elapsed, write_time, connected_at, result, is_direct };
+        observations.lock().unwrap().answers.push(asked);
         thread::sleep(caller.pause);
     }
 }
@@ -218,7 +228,7 @@
 /// A connection that is up: a relay takes one in before the router does, so a ping has to be answered.
 fn connect(at: SocketAddr) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(ANSWERED)).ok()?;
+    stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
     stream.write_all(&PING).ok()?;
     receive_answer(&mut stream, 0).ok()?;
     Some(stream)
@@ -231,7 +241,7 @@
 }
 
 fn request(number: u32, class: &str, id: &str, wait: u32, text: &str) -> Vec<u8> {
-    let (wait, cost) = (wait.to_string(), COST.to_string());
+    let (wait, cost) = (wait.to_string(), JOB_COST_MS.to_string());
     let mut fields = vec![("id", id), ("wait", wait.as_str()), ("cost", cost.as_str()), ("ram", "16")];
     // All loads of a router have one key; it counts where the settings say that loads keep their order.
     fields.extend((class == "load").then_some(("key", "one")));
@@ -239,19 +249,22 @@
 }
 
 /// A client that misbehaves once, over a connection of its own. `number` makes its requests' ids.
-pub(super) fn misbehave(client: RudeClient, at: SocketAddr, number: u64, seen: &Mutex<Seen>) {
+pub(super) fn misbehave(
+    client: MisbehavingClient, at: SocketAddr, number: u64, observations: &Mutex<Observations>,
+) {
     let Ok(mut stream) = TcpStream::connect(at) else { return };
-    let _ = stream.set_read_timeout(Some(RUDE_REST));
+    let _ = stream.set_read_timeout(Some(MISBEHAVING_PAUSE));
     let id = format!("e{number:015x}");
     let text = "select 1 from sales_1.x";
-    let message = request(1, "look", &id, WAIT, text);
+    let message = request(1, "look", &id, CLIENT_WAIT_MS, text);
     let sent = match client {
-        RudeClient::HalfMessage => stream.write_all(&message[..message.len() / 2]),
-        RudeClient::Garbage => stream.write_all(&[0xff; 64]),
-        RudeClient::TinyDeadline => stream.write_all(&request(1, "look", &id, TINY, text)),
-        RudeClient::EarlyClose => stream.write_all(&message),
-        RudeClient::Flood => {
-            let each = |at: u32| request(at, "look", &format!("e{number:010x}{at:05x}"), WAIT, text);
+        MisbehavingClient::HalfMessage => stream.write_all(&message[..message.len() / 2]),
+        MisbehavingClient::Garbage => stream.write_all(&[0xff; 64]),
+        MisbehavingClient::TinyDeadline => stream.write_all(&request(1, "look", &id, TINY_DEADLINE_MS, text)),
+        MisbehavingClient::EarlyClose => stream.write_all(&message),
+        MisbehavingClient::Flood => {
+            let each =
+                |at: u32| request(at, "look", &format!("e{number:010x}{at:05x}"), CLIENT_WAIT_MS, text);
             stream.write_all(&(1..200).flat_map(each).collect::<Vec<u8>>())
         }
     };
@@ -259,58 +272,70 @@
         return;
     }
     match client {
-        RudeClient::EarlyClose => {
+        MisbehavingClient::EarlyClose => {
             thread::sleep(Duration::from_millis(number % 40));
             let _ = stream.shutdown(Shutdown::Both);
-            seen.lock().unwrap().left.insert(id, Instant::now());
+            observations.lock().unwrap().clients_left.insert(id, Instant::now());
         }
-        RudeClient::Flood => {
+        MisbehavingClient::Flood => {
             drop(stream);
             let left = (1..200).map(|at| (format!("e{number:010x}{at:05x}"), Instant::now()));
-            seen.lock().unwrap().left.extend(left);
+            observations.lock().unwrap().clients_left.extend(left);
         }
-        RudeClient::HalfMessage | RudeClient::Garbage => thread::sleep(RUDE_REST),
-        RudeClient::TinyDeadline => _ = receive_answer(&mut stream, 1),
+        MisbehavingClient::HalfMessage | MisbehavingClient::Garbage => thread::sleep(MISBEHAVING_PAUSE),
+        MisbehavingClient::TinyDeadline => _ = receive_answer(&mut stream, 1),
     }
 }
 
 /// A client that asks one request after another over a connection of its own to the router itself, until the router ends that. One that is
 /// not served by `by` goes again.
-pub(super) fn stay(router: usize, at: SocketAddr, number: u64, seen: &Mutex<Seen>, by: Instant) {
-    let since = Instant::now();
+pub(super) fn run_staying_client(
+    router: usize, at: SocketAddr, number: u64, observations: &Mutex<Observations>, by: Instant,
+) {
+    let connected_at = Instant::now();
     let mut connection = connect(at).filter(|_| Instant::now() < by);
     let mut count = 0;
     while let Some(stream) = &mut connection {
         count += 1;
         let id = format!("d{number:07x}{count:08x}");
         let asked = Instant::now();
-        let sent = stream.write_all(&request(count, "look", &id, STAY_WAIT, "select 1 from sales_2.x"));
-        let written = asked.elapsed();
-        let got = sent.and_then(|()| receive_answer(stream, count));
-        if got.is_err() {
+        let sent = stream.write_all(&request(count, "look", &id, STAYING_WAIT_MS, "select 1 from sales_2.x"));
+        let write_time = asked.elapsed();
+        let result = sent.and_then(|()| receive_answer(stream, count));
+        if result.is_err() {
             connection = None;
         }
-        let (wait, took) = (Duration::from_millis(STAY_WAIT.into()), asked.elapsed());
-        let asked = Asked { router, id, at: asked, wait, took, written, since, got, is_direct: true };
-        seen.lock().unwrap().answers.push(asked);
-        thread::sleep(STAY_PAUSE);
+        let (wait, elapsed) = (Duration::from_millis(STAYING_WAIT_MS.into()), asked.elapsed());
+        let asked = AnsweredJob {
+            router,
+            id,
+            at: asked,
+            wait,
+            elapsed,
+            write_time,
+            connected_at,
+            result,
+            is_direct: true,
+        };
+        observations.lock().unwrap().answers.push(asked);
+        thread::sleep(STAYING_PAUSE);
     }
 }
 
 /// A client that asks for a load that runs for a while, and leaves in the middle of it.
-pub(super) fn leave_a_load(at: SocketAddr, caller: usize, seen: &Mutex<Seen>) {
+pub(super) fn abandon_load(at: SocketAddr, caller: usize, observations: &Mutex<Observations>) {
     let Some(mut stream) = connect(at) else { return };
-    let id = format!("f{caller:0width$x}{SLOW:010x}", width = CALLER_DIGITS);
+    let id = format!("f{caller:0width$x}{SLOW_JOB_NUMBER:010x}", width = CALLER_DIGITS);
     let text = "select 1 from sales_3.x";
-    if stream.write_all(&request(1, "load", &id, WAIT, text)).is_ok() {
-        thread::sleep(LEAVES_AFTER);
+    if stream.write_all(&request(1, "load", &id, CLIENT_WAIT_MS, text)).is_ok() {
+        thread::sleep(LEAVE_DELAY);
         let _ = stream.shutdown(Shutdown::Both);
-        seen.lock().unwrap().left.insert(id, Instant::now());
+        observations.lock().unwrap().clients_left.insert(id, Instant::now());
     }
 }
 
 /// Connections that say nothing, held for so long.
-pub(super) fn crowd(at: SocketAddr, count: usize, span: Duration) {
+pub(super) fn hold_idle_connections(at: SocketAddr, count: usize, span: Duration) {
     let held: Vec<TcpStream> = (0..count).filter_map(|_| TcpStream::connect(at).ok()).collect();
     thread::sleep(span);
     drop(held);
--- a/crates/standins/src/fleet/queries.rs
+++ b/crates/standins/src/fleet/queries.rs
@@ -4,20 +4,20 @@
 use std::time::{Duration, Instant};
 
 /// An engine ends a query that was not asked for in this time.
-const UNASKED: Duration = Duration::from_secs(2);
+const UNPOLLED_QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One query at one engine.
 pub(super) struct Query {
     /// When it has its result.
-    done: Instant,
+    done_at: Instant,
     /// When it was asked for last.
-    asked: Instant,
-    over: Option<(Instant, End)>,
+    last_polled: Instant,
+    ended: Option<(Instant, QueryEnd)>,
 }
 
 /// How a query ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum QueryEnd {
     /// Its engine wrote an answer that tells the end.
     Written,
     Deleted,
@@ -26,50 +26,50 @@
 
 /// What becomes of a call for a query.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum News {
-    Runs,
+pub(super) enum QueryStatus {
+    Running,
     Done,
     /// The engine knows no such query, or none any more.
     Unknown,
 }
 
 impl Query {
-    pub fn start(now: Instant, runs: Duration) -> Self {
-        Self { done: now + runs, asked: now, over: None }
+    pub fn new(now: Instant, runs: Duration) -> Self {
+        Self { done_at: now + runs, last_polled: now, ended: None }
     }
 
     /// A call for it came whole.
-    fn ask(&mut self, now: Instant) -> News {
+    fn poll(&mut self, now: Instant) -> QueryStatus {
         self.expire(now);
-        match self.over {
-            Some((_, End::Written)) => News::Done,
-            Some(_) => News::Unknown,
+        match self.ended {
+            Some((_, QueryEnd::Written)) => QueryStatus::Done,
+            Some(_) => QueryStatus::Unknown,
             None => {
-                self.asked = now;
-                if now < self.done { News::Runs } else { News::Done }
+                self.last_polled = now;
+                if now < self.done_at { QueryStatus::Running } else { QueryStatus::Done }
             }
         }
     }
 
-    fn end(&mut self, now: Instant, end: End) {
+    fn end(&mut self, now: Instant, end: QueryEnd) {
         self.expire(now);
-        self.over.get_or_insert((now, end));
+        self.ended.get_or_insert((now, end));
     }
 
     fn expire(&mut self, now: Instant) {
-        if self.over.is_none() && now >= self.asked + UNASKED {
-            self.over = Some((self.asked + UNASKED, End::Unasked));
+        if self.ended.is_none() && now >= self.last_polled + UNPOLLED_QUERY_TIMEOUT {
+            self.ended = Some((self.last_polled + UNPOLLED_QUERY_TIMEOUT, QueryEnd::Unasked));
         }
     }
 
     /// When it ran no more, if nothing comes behind what was seen.
-    pub fn over(&self) -> (Instant, End) {
-        self.over.unwrap_or((self.asked + UNASKED, End::Unasked))
+    pub fn end_time(&self) -> (Instant, QueryEnd) {
+        self.ended.unwrap_or((self.last_polled + UNPOLLED_QUERY_TIMEOUT, QueryEnd::Unasked))
     }
 
     /// When it was asked for last.
-    pub fn asked(&self) -> Instant {
-        self.asked
+    pub fn last_polled(&self) -> Instant {
+        self.last_polled
     }
 }
 
@@ -80,17 +80,17 @@
 impl Queries {
     /// A query came to an engine, which takes so long for it. One that it has already goes on.
     pub fn start(&mut self, engine: usize, id: &str, now: Instant, runs: Duration) {
-        self.0.entry((engine, id.to_owned())).or_insert_with(|| Query::start(now, runs));
+        self.0.entry((engine, id.to_owned())).or_insert_with(|| Query::new(now, runs));
     }
 
     /// A call for a query came whole to its engine.
-    pub fn ask(&mut self, engine: usize, id: &str, now: Instant) -> News {
+    pub fn poll(&mut self, engine: usize, id: &str, now: Instant) -> QueryStatus {
         let query = self.0.get_mut(&(engine, id.to_owned()));
-        query.map_or(News::Unknown, |query| query.ask(now))
+        query.map_or(QueryStatus::Unknown, |query| query.poll(now))
     }
 
     /// A query ended.
-    pub fn end(&mut self, engine: usize, id: &str, now: Instant, end: End) {
+    pub fn end(&mut self, engine: usize, id: &str, now: Instant, end: QueryEnd) {
         if let Some(query) = self.0.get_mut(&(engine, id.to_owned())) {
             query.end(now, end);
         }
--- a/crates/standins/src/fleet/stops.rs
+++ b/crates/standins/src/fleet/stops.rs
@@ -6,51 +6,51 @@
 
 use rustix::process::Signal;
 
-use super::overlap::{Play, Starter, sleep_until};
+use super::overlap::{PlanRun, Starter, sleep_until};
 use super::{Fleet, parties};
-use crate::troubles::{EARLIEST_KILL, Order, TimedOrder, Trouble};
+use crate::troubles::{EARLIEST_KILL_MS, OperatorSignal, TimedSignal, Trouble};
 
 /// Clients that use open connections until a router that was told to end has ended.
-const STAYING: usize = 12;
+const STAYING_CLIENTS: usize = 12;
 /// Between the time at which they connect and the first gap before a signal.
-const CONNECT: Duration = Duration::from_millis(100);
+const CONNECT_TIME: Duration = Duration::from_millis(100);
 /// Tells them apart.
-static STAYERS: AtomicU64 = AtomicU64::new(1);
+static NEXT_STAYING_CLIENT: AtomicU64 = AtomicU64::new(1);
 
-impl Play<'_> {
+impl PlanRun<'_> {
     /// Clients connect, then the signals come, then the page's earliest kill, whatever the router does meanwhile. Most have ended by
     /// themselves by then.
-    pub(super) fn stop(&self, router: usize, orders: &[TimedOrder], begun: Instant, starter: &Starter) {
+    pub(super) fn run_stop(&self, router: usize, orders: &[TimedSignal], begun: Instant, starter: &Starter) {
         let trouble = Trouble::Stop { router, orders: orders.to_vec(), span: 0 };
         let Some(process) = self.fleet.process_id(router) else { return };
-        let mut due = begun + CONNECT;
-        self.fleet.add_stayers(router, due);
+        let mut due = begun + CONNECT_TIME;
+        self.fleet.start_staying_clients(router, due);
         let mut first_to_end = None;
         for (gap, order) in orders {
             due += Duration::from_millis(*gap);
             sleep_until(due);
-            self.note_late(&trouble, "gave an order", due);
+            self.record_late(&trouble, "gave an order", due);
             let sent = Instant::now();
-            if *order != Order::Reload && first_to_end.is_none() {
+            if *order != OperatorSignal::Reload && first_to_end.is_none() {
                 first_to_end = Some(sent);
-                self.fleet.seen.lock().unwrap().ended.push((router, sent));
+                self.fleet.observations.lock().unwrap().told_to_end.push((router, sent));
             }
             self.fleet.routers[router].lock().unwrap().signal_if(process, signal_of(*order));
         }
         let Some(told) = first_to_end else { return };
-        let due = told + Duration::from_millis(EARLIEST_KILL);
+        let due = told + Duration::from_millis(EARLIEST_KILL_MS);
         sleep_until(due);
-        self.note_late(&trouble, "killed", due);
-        self.fleet.kill_behind_its_end(router);
-        starter.again(router);
+        self.record_late(&trouble, "killed", due);
+        self.fleet.kill_while_ending(router);
+        starter.start_router(router);
     }
 }
 
-fn signal_of(order: Order) -> Signal {
+fn signal_of(order: OperatorSignal) -> Signal {
     match order {
-        Order::Reload => Signal::HUP,
-        Order::Terminate => Signal::TERM,
-        Order::Interrupt => Signal::INT,
+        OperatorSignal::Reload => Signal::HUP,
+        OperatorSignal::Terminate => Signal::TERM,
+        OperatorSignal::Interrupt => Signal::INT,
     }
 }
 
@@ -60,18 +60,18 @@
     }
 
     /// Clients that stay; one that is not served by then goes again.
-    fn add_stayers(&self, router: usize, by: Instant) {
+    fn start_staying_clients(&self, router: usize, by: Instant) {
         let at = self.routers[router].lock().unwrap().address;
-        for _ in 0..STAYING {
-            let number = STAYERS.fetch_add(1, Ordering::Relaxed);
-            let seen = self.seen.clone();
-            thread::spawn(move || parties::stay(router, at, number, &seen, by));
+        for _ in 0..STAYING_CLIENTS {
+            let number = NEXT_STAYING_CLIENT.fetch_add(1, Ordering::Relaxed);
+            let observations = self.observations.clone();
+            thread::spawn(move || parties::run_staying_client(router, at, number, &observations, by));
         }
     }
 
-    fn kill_behind_its_end(&self, router: usize) {
+    fn kill_while_ending(&self, router: usize) {
         let mut process = self.routers[router].lock().unwrap();
-        self.seen.lock().unwrap().killed_behind_their_end.push((router, Instant::now()));
+        self.observations.lock().unwrap().killed_while_ending.push((router, Instant::now()));
         process.kill();
     }
 }
--- a/crates/standins/src/lightweight/discovery.rs
+++ b/crates/standins/src/lightweight/discovery.rs
@@ -5,61 +5,61 @@
 use std::time::Instant;
 
 use crate::discovery::{DiscoveryEvents, query_param};
-use crate::engines::{Call, Response, StandinServer, framed};
+use crate::engines::{Call, Response, StandinServer, encode_response};
 
 #[derive(Default)]
-struct Seen {
-    received: u64,
-    sent: u64,
+struct TrafficRecord {
+    received_bytes: u64,
+    sent_bytes: u64,
     /// The number behind which the router asked, each time that it had grown, and when.
-    taken_in: Vec<(u64, Instant)>,
+    positions: Vec<(u64, Instant)>,
 }
 
 /// A bulletin that tells one router the events that others may be told too.
 pub struct LightweightDiscovery {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
-    _standin: StandinServer,
+    record: Arc<Mutex<TrafficRecord>>,
+    _server: StandinServer,
 }
 
 impl LightweightDiscovery {
     pub fn start(events: DiscoveryEvents) -> Self {
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let known = seen.clone();
-        let standin = StandinServer::start(move |call| {
-            known.lock().unwrap().asked(call);
+        let record: Arc<Mutex<TrafficRecord>> = Arc::default();
+        let recorder = record.clone();
+        let server = StandinServer::start(move |call| {
+            recorder.lock().unwrap().record_call(call);
             let says = events.answer(call);
-            known.lock().unwrap().answered(&says);
+            recorder.lock().unwrap().record_answer(&says);
             says
         });
-        Self { address: standin.address, seen, _standin: standin }
+        Self { address: server.address, record, _server: server }
     }
 
     /// Bytes received from the router, and sent to it.
     pub fn traffic(&self) -> (u64, u64) {
-        let seen = self.seen.lock().unwrap();
-        (seen.received, seen.sent)
+        let record = self.record.lock().unwrap();
+        (record.received_bytes, record.sent_bytes)
     }
 
     /// When the router asked for what comes behind this event, which it does once the event is in force there.
     pub fn applied_at(&self, event: u64) -> Option<Instant> {
-        let seen = self.seen.lock().unwrap();
-        seen.taken_in.iter().find(|(after, _)| *after >= event).map(|(_, at)| *at)
+        let record = self.record.lock().unwrap();
+        record.positions.iter().find(|(after, _)| *after >= event).map(|(_, at)| *at)
     }
 }
 
-impl Seen {
-    fn asked(&mut self, call: &Call) {
+impl TrafficRecord {
+    fn record_call(&mut self, call: &Call) {
         let after = query_param(call, "after");
-        self.received += call.size() as u64;
-        if self.taken_in.last().is_none_or(|(last, _)| *last < after) {
-            self.taken_in.push((after, Instant::now()));
+        self.received_bytes += call.size() as u64;
+        if self.positions.last().is_none_or(|(last, _)| *last < after) {
+            self.positions.push((after, Instant::now()));
         }
     }
 
-    fn answered(&mut self, says: &Response) {
+    fn record_answer(&mut self, says: &Response) {
         if let Response::Full(status, fields, body) = says {
-            self.sent += framed(*status, fields, body).len() as u64;
+            self.sent_bytes += encode_response(*status, fields, body).len() as u64;
         }
     }
 }
--- a/crates/standins/src/lightweight/engines.rs
+++ b/crates/standins/src/lightweight/engines.rs
@@ -16,15 +16,15 @@
 /// The most engines that the addresses stand for.
 pub const MAX_ENGINES: usize = 1 << 16;
 /// The addresses begin here; the last two bytes are the engine's number.
-const NETWORK: [u8; 2] = [127, 100];
+const ADDRESS_PREFIX: [u8; 2] = [127, 100];
 /// Connections that wait at the one listener.
-const QUEUE: i32 = 4096;
+const LISTEN_BACKLOG: i32 = 4096;
 const THREADS: usize = 2;
 const READ_BYTES: usize = 4 * 1024;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const ROW: &str = "a\tb\tc\n";
 /// Load reports tell the processor's share in thousandths.
-const THOUSANDTHS: f64 = 1_000.0;
+const LOAD_UNITS: f64 = 1_000.0;
 
 /// What engines got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -59,14 +59,14 @@
 struct Shared {
     engines: Vec<Counts>,
     /// The share of its processor that each reports, in thousandths.
-    busy: AtomicU32,
+    reported_load: AtomicU32,
 }
 
 /// Engines that differ in nothing but their addresses.
 pub struct LightweightEngines {
     port: u16,
     shared: Arc<Shared>,
-    _over: Sender<()>,
+    _shutdown: Sender<()>,
 }
 
 impl LightweightEngines {
@@ -74,33 +74,33 @@
     pub fn start(count: usize) -> io::Result<Self> {
         assert!(count <= MAX_ENGINES, "{count} engines, {MAX_ENGINES} have addresses");
         let listener = Async::<TcpListener>::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-        SockRef::from(listener.get_ref()).listen(QUEUE)?;
+        SockRef::from(listener.get_ref()).listen(LISTEN_BACKLOG)?;
         let port = listener.get_ref().local_addr()?.port();
         let engines = (0..count).map(|_| Counts::default()).collect();
-        let shared = Arc::new(Shared { engines, busy: AtomicU32::new(0) });
-        let (over, ended) = async_channel::bounded::<()>(1);
+        let shared = Arc::new(Shared { engines, reported_load: AtomicU32::new(0) });
+        let (shutdown, shut_down) = async_channel::bounded::<()>(1);
         let executor = Arc::new(Executor::new());
         for _ in 0..THREADS {
-            let (executor, ended) = (executor.clone(), ended.clone());
-            thread::spawn(move || async_io::block_on(executor.run(ended.recv())));
+            let (executor, shut_down) = (executor.clone(), shut_down.clone());
+            thread::spawn(move || async_io::block_on(executor.run(shut_down.recv())));
         }
         let known = shared.clone();
         thread::spawn(move || {
             let accepting = accept(listener, known, &executor);
-            let over = async { _ = ended.recv().await };
-            async_io::block_on(executor.run(accepting.or(over)));
+            let shutdown = async { _ = shut_down.recv().await };
+            async_io::block_on(executor.run(accepting.or(shutdown)));
         });
-        Ok(Self { port, shared, _over: over })
+        Ok(Self { port, shared, _shutdown: shutdown })
     }
 
     pub fn address(&self, engine: usize) -> SocketAddr {
         let [high, low] = (engine as u16).to_be_bytes();
-        SocketAddr::from(([NETWORK[0], NETWORK[1], high, low], self.port))
+        SocketAddr::from(([ADDRESS_PREFIX[0], ADDRESS_PREFIX[1], high, low], self.port))
     }
 
     /// The share of its processor, from 0 to 1, that each engine reports, as others load it.
     pub fn set_reported_load(&self, share: f64) {
-        self.shared.busy.store((share * THOUSANDTHS) as u32, Ordering::Relaxed);
+        self.shared.reported_load.store((share * LOAD_UNITS) as u32, Ordering::Relaxed);
     }
 
     /// What one engine got.
@@ -130,25 +130,25 @@
 /// Serves one connection until its peer ends it.
 async fn serve(mut stream: Async<TcpStream>, shared: Arc<Shared>) {
     let _ = stream.get_ref().set_nodelay(true);
-    let Some(counts) = number(&stream).and_then(|engine| shared.engines.get(engine)) else { return };
-    let (mut bytes, mut piece) = (Vec::new(), [0; READ_BYTES]);
+    let Some(counts) = engine_of(&stream).and_then(|engine| shared.engines.get(engine)) else { return };
+    let (mut bytes, mut chunk) = (Vec::new(), [0; READ_BYTES]);
     loop {
-        while let Some(length) = whole(&bytes) {
-            let answer = answer(&bytes[..length], counts, &shared.busy);
+        while let Some(length) = complete_call_length(&bytes) {
+            let answer = answer(&bytes[..length], counts, &shared.reported_load);
             bytes.drain(..length);
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
         }
-        match stream.read(&mut piece).await {
+        match stream.read(&mut chunk).await {
             Ok(0) | Err(_) => return,
-            Ok(count) => bytes.extend_from_slice(&piece[..count]),
+            Ok(count) => bytes.extend_from_slice(&chunk[..count]),
         }
     }
 }
 
 /// The engine that a connection came to.
-fn number(stream: &Async<TcpStream>) -> Option<usize> {
+fn engine_of(stream: &Async<TcpStream>) -> Option<usize> {
     match stream.get_ref().local_addr().ok()? {
         SocketAddr::V4(at) => {
             let [_, _, high, low] = at.ip().octets();
@@ -159,7 +159,7 @@
 }
 
 /// The length of the call that the bytes begin with, once it is there whole.
-fn whole(bytes: &[u8]) -> Option<usize> {
+fn complete_call_length(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END)? + HEAD_END.len();
     let text = str::from_utf8(&bytes[..head]).ok()?;
     let told = text.lines().find_map(|line| line.strip_prefix("Content-Length: "));
@@ -167,22 +167,22 @@
     (bytes.len() >= length).then_some(length)
 }
 
-fn answer(call: &[u8], counts: &Counts, busy: &AtomicU32) -> String {
+fn answer(call: &[u8], counts: &Counts, reported_load: &AtomicU32) -> String {
     if call.starts_with(b"POST ") {
         counts.queries.fetch_add(1, Ordering::Relaxed);
-        return ok("X-Batches: 1\r\nX-Batch: 0\r\n", ROW);
+        return ok_response("X-Batches: 1\r\nX-Batch: 0\r\n", ROW);
     }
     if !call.starts_with(b"GET /load ") {
         return "HTTP/1.1 204 No Content\r\n\r\n".to_owned();
     }
-    let share = f64::from(busy.load(Ordering::Relaxed)) / THOUSANDTHS;
-    let report = ok(&format!("X-Stats: waiting:0;cpu:{share}\r\n"), "");
+    let share = f64::from(reported_load.load(Ordering::Relaxed)) / LOAD_UNITS;
+    let report = ok_response(&format!("X-Stats: waiting:0;cpu:{share}\r\n"), "");
     counts.probes.fetch_add(1, Ordering::Relaxed);
     counts.probe_bytes.fetch_add(call.len() as u64, Ordering::Relaxed);
     counts.report_bytes.fetch_add(report.len() as u64, Ordering::Relaxed);
     report
 }
 
-fn ok(fields: &str, body: &str) -> String {
+fn ok_response(fields: &str, body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/standins/src/log_reader.rs
+++ b/crates/standins/src/log_reader.rs
@@ -9,17 +9,17 @@
 
 /// How the log is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum LogReadMode {
     AtOnce,
     /// A kilobyte now and then.
     Slowly,
     NotAtAll,
 }
 
-const SLOW_BYTES: usize = 1_024;
-const SLOW_PAUSE: Duration = Duration::from_millis(100);
+const SLOW_READ_BYTES: usize = 1_024;
+const SLOW_READ_PAUSE: Duration = Duration::from_millis(100);
 /// Between looks whether it is to read again.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The reader of one process's log, over its restarts.
 #[derive(Default)]
@@ -32,40 +32,40 @@
     /// Reads the log of a process that was started anew.
     pub fn start(&mut self, from: PipeReader, to: File) {
         let reading = self.reading.clone();
-        self.thread = Some(thread::spawn(move || copy(from, to, &reading)));
+        self.thread = Some(thread::spawn(move || copy_log(from, to, &reading)));
     }
 
-    pub fn set(&self, reading: Reading) {
+    pub fn set(&self, reading: LogReadMode) {
         self.reading.store(reading as u8, Ordering::SeqCst);
     }
 
     /// Reads what is left of a process that has ended.
     pub fn finish(&mut self) {
         if let Some(thread) = self.thread.take() {
-            self.set(Reading::AtOnce);
+            self.set(LogReadMode::AtOnce);
             let _ = thread.join();
         }
     }
 }
 
-fn copy(mut from: PipeReader, mut to: File, reading: &AtomicU8) {
+fn copy_log(mut from: PipeReader, mut to: File, reading: &AtomicU8) {
     let mut bytes = vec![0; 64 * 1_024];
     loop {
         let reading = reading.load(Ordering::SeqCst);
-        if reading == Reading::NotAtAll as u8 {
-            thread::sleep(LOOK);
+        if reading == LogReadMode::NotAtAll as u8 {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let is_slow = reading == Reading::Slowly as u8;
-        let most = if is_slow { SLOW_BYTES } else { bytes.len() };
-        match from.read(&mut bytes[..most]) {
+        let is_slow = reading == LogReadMode::Slowly as u8;
+        let max_bytes = if is_slow { SLOW_READ_BYTES } else { bytes.len() };
+        match from.read(&mut bytes[..max_bytes]) {
             Ok(0) => return,
             Ok(count) => to.write_all(&bytes[..count]).expect("a log"),
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => return,
         }
         if is_slow {
-            thread::sleep(SLOW_PAUSE);
+            thread::sleep(SLOW_READ_PAUSE);
         }
     }
 }
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -27,58 +27,65 @@
 }
 
 pub struct Network {
-    chance: Pcg32,
+    rng: Pcg32,
     pub conditions: NetworkConditions,
     /// Addresses that can't be reached from others of another number.
-    sides: BTreeMap<SocketAddr, u8>,
+    partitions: BTreeMap<SocketAddr, u8>,
     /// What a place's own datagrams take longer.
-    lags: BTreeMap<SocketAddr, Span>,
-    flying: BTreeMap<(Moment, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
-    count: u64,
+    extra_delays: BTreeMap<SocketAddr, Span>,
+    in_flight: BTreeMap<(Moment, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
+    sent_copies: u64,
 }
 
 impl Network {
     pub fn new(seed: u64, weather: NetworkConditions) -> Self {
-        let (sides, lags, flying) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Self { chance: Pcg32::seed_from_u64(seed), conditions: weather, sides, lags, flying, count: 0 }
+        let (partitions, extra_delays, in_flight) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        Self {
+            rng: Pcg32::seed_from_u64(seed),
+            conditions: weather,
+            partitions,
+            extra_delays,
+            in_flight,
+            sent_copies: 0,
+        }
     }
 
     /// From now on such places reach only one another; all others are on side 0.
     pub fn set_partition(&mut self, place: SocketAddr, side: u8) {
-        self.sides.insert(place, side);
+        self.partitions.insert(place, side);
     }
 
     pub fn heal(&mut self) {
-        self.sides.clear();
+        self.partitions.clear();
     }
 
     pub fn add_delay(&mut self, place: SocketAddr, by: Span) {
-        self.lags.insert(place, by);
+        self.extra_delays.insert(place, by);
     }
 
     pub fn send(&mut self, now: Moment, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         let NetworkConditions { loss, duplication: twice, delay: (least, most) } = self.conditions;
-        let side = |place| self.sides.get(&place).copied().unwrap_or(0);
-        if side(from) != side(to) || self.chance.random_bool(loss) {
+        let side = |place| self.partitions.get(&place).copied().unwrap_or(0);
+        if side(from) != side(to) || self.rng.random_bool(loss) {
             return;
         }
-        let copies = 1 + usize::from(self.chance.random_bool(twice));
+        let copies = 1 + usize::from(self.rng.random_bool(twice));
         for _ in 0..copies {
-            let delay = least + most.saturating_sub(least).mul_f64(self.chance.random::<f64>());
-            let lag = self.lags.get(&from).copied().unwrap_or_default();
-            self.count += 1;
-            self.flying.insert((now + delay + lag, self.count), (from, to, bytes.clone()));
+            let delay = least + most.saturating_sub(least).mul_f64(self.rng.random::<f64>());
+            let extra_delay = self.extra_delays.get(&from).copied().unwrap_or_default();
+            self.sent_copies += 1;
+            self.in_flight.insert((now + delay + extra_delay, self.sent_copies), (from, to, bytes.clone()));
         }
     }
 
     /// When the next datagram arrives.
     pub fn next_arrival(&self) -> Option<Moment> {
-        self.flying.keys().next().map(|(at, _)| *at)
+        self.in_flight.keys().next().map(|(at, _)| *at)
     }
 
     /// A datagram that has arrived by now: from, to and bytes.
     pub fn take_arrived(&mut self, now: Moment) -> Option<(SocketAddr, SocketAddr, Vec<u8>)> {
         self.next_arrival().filter(|at| *at <= now)?;
-        self.flying.pop_first().map(|(_, flight)| flight)
+        self.in_flight.pop_first().map(|(_, flight)| flight)
     }
 }
--- a/crates/standins/src/preload.rs
+++ b/crates/standins/src/preload.rs
@@ -11,11 +11,11 @@
 
 const SOURCE: &str = include_str!("../preload/faults.c");
 /// The slots that the library shares: two for each call, the shortest transfer, the step of the clock, and how often each call failed.
-const CALLS: usize = 8;
-const SHORTEST: usize = 2 * CALLS;
-const STEP: usize = SHORTEST + 1;
-const FAILED: usize = STEP + 1;
-const SLOTS: usize = FAILED + CALLS;
+const CALL_COUNT: usize = 8;
+const MAX_TRANSFER_SLOT: usize = 2 * CALL_COUNT;
+const CLOCK_STEP_SLOT: usize = MAX_TRANSFER_SLOT + 1;
+const FIRST_FAILURE_COUNT_SLOT: usize = CLOCK_STEP_SLOT + 1;
+const SLOT_COUNT: usize = FIRST_FAILURE_COUNT_SLOT + CALL_COUNT;
 
 /// A call that can fail, in the order of the library's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,9 +32,9 @@
 
 /// Why there is no library.
 #[derive(Debug)]
-pub struct NoLibrary(String);
+pub struct BuildError(String);
 
-impl fmt::Display for NoLibrary {
+impl fmt::Display for BuildError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "no library of faults can be built: {}", self.0)
     }
@@ -49,21 +49,21 @@
 
 impl Preload {
     /// Builds the library into `folder`, and the file through which faults are set for a process of that name.
-    pub fn build(folder: &Path, name: &str) -> Result<Self, NoLibrary> {
-        let fault = |error: std::io::Error| NoLibrary(error.to_string());
+    pub fn build(folder: &Path, name: &str) -> Result<Self, BuildError> {
+        let fault = |error: std::io::Error| BuildError(error.to_string());
         fs::create_dir_all(folder).map_err(fault)?;
         let (source, library) = (folder.join("faults.c"), folder.join("libfaults.so"));
         if !library.exists() {
             fs::write(&source, SOURCE).map_err(fault)?;
             let mut compiler = Command::new("cc");
             compiler.args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).arg(&source).arg("-ldl");
-            let output = compiler.output().map_err(|error| NoLibrary(format!("cc: {error}")))?;
+            let output = compiler.output().map_err(|error| BuildError(format!("cc: {error}")))?;
             if !output.status.success() {
-                return Err(NoLibrary(String::from_utf8_lossy(&output.stderr).into_owned()));
+                return Err(BuildError(String::from_utf8_lossy(&output.stderr).into_owned()));
             }
         }
         let slots = folder.join(format!("{name}.faults"));
-        fs::write(&slots, [0; SLOTS * 8]).map_err(fault)?;
+        fs::write(&slots, [0; SLOT_COUNT * 8]).map_err(fault)?;
         let file = File::options().read(true).write(true).open(&slots).map_err(fault)?;
         Ok(Self { library, slots, file })
     }
@@ -81,27 +81,27 @@
     }
 
     /// From now on no read or write passes on more than so many bytes; with 0, as many as there are.
-    pub fn limit_transfers(&self, most: u32) {
-        self.set(SHORTEST, most.into());
+    pub fn limit_transfers(&self, max_bytes: u32) {
+        self.set(MAX_TRANSFER_SLOT, max_bytes.into());
     }
 
     /// The wall clock of the process shows so much more, or less, from now on.
     pub fn step_clock(&self, step: Duration, back: bool) {
         let micros = i64::try_from(step.as_micros()).expect("less than an age");
-        self.set(STEP, if back { -micros } else { micros });
+        self.set(CLOCK_STEP_SLOT, if back { -micros } else { micros });
     }
 
     /// How often such a call was made to fail.
     pub fn failure_count(&self, call: SystemCall) -> u64 {
         let mut bytes = [0; 8];
-        let at = (FAILED + call as usize) as u64 * 8;
+        let at = (FIRST_FAILURE_COUNT_SLOT + call as usize) as u64 * 8;
         self.file.read_exact_at(&mut bytes, at).expect("the file of faults");
         u64::from_ne_bytes(bytes)
     }
 
     /// No fault from now on.
     pub fn clear(&self) {
-        self.file.write_all_at(&[0; FAILED * 8], 0).expect("the file of faults");
+        self.file.write_all_at(&[0; FIRST_FAILURE_COUNT_SLOT * 8], 0).expect("the file of faults");
     }
 
     fn set(&self, slot: usize, value: i64) {
--- a/crates/standins/src/processes.rs
+++ b/crates/standins/src/processes.rs
@@ -17,21 +17,21 @@
 
 use crate::TEST_TIMEOUT;
 use crate::clients::Client;
-use crate::log_reader::{LogReader, Reading};
+use crate::log_reader::{LogReadMode, LogReader};
 use crate::preload::Preload;
 
 /// Sets what a process is sent as its parent ends, and becomes the program that it is told (util-linux).
 const SETPRIV: &str = "setpriv";
 /// What a log's pipe holds: the least that the system allows, so that it is full at once where nobody reads.
-const PIPE_BYTES: usize = 4_096;
+const LOG_PIPE_BYTES: usize = 4_096;
 /// A program that was started has its handlers of signals by then.
-const CATCHES_BY: Duration = Duration::from_millis(500);
+const HANDLER_WAIT_LIMIT: Duration = Duration::from_millis(500);
 /// What the processes of stories log.
-const STORY_LEVEL: &str = "info,woadhook_router=debug";
+const TEST_LOG_LEVEL: &str = "info,woadhook_router=debug";
 
 /// What stands in the place of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum UnreadableConfig {
     /// A FIFO that nobody writes to.
     Fifo,
     /// What is no configuration.
@@ -43,11 +43,11 @@
     program: PathBuf,
     /// What its command line says besides.
     arguments: Vec<String>,
-    config: PathBuf,
+    config_path: PathBuf,
     /// What the configuration says, and what stands in its place for now.
-    given: Mutex<Value>,
-    hidden: Mutex<Option<Unreadable>>,
-    log: PathBuf,
+    config: Mutex<Value>,
+    config_replacement: Mutex<Option<UnreadableConfig>>,
+    log_path: PathBuf,
     /// Reads the log from a pipe; else it is a file.
     reader: Option<LogReader>,
     level: String,
@@ -60,72 +60,80 @@
 
 impl RouterProcess {
     /// Starts `program`, told `told` under such a name, at an address that is free; its files go to `folder`.
-    pub fn start(program: &str, folder: &Path, name: &str, told: &str) -> Self {
-        Self::start_with_arguments(program, &[], folder, name, told)
+    pub fn start(program: &str, folder: &Path, name: &str, config: &str) -> Self {
+        Self::start_with_arguments(program, &[], folder, name, config)
     }
 
     /// One whose command line says more.
     pub fn start_with_arguments(
-        program: &str, arguments: &[String], folder: &Path, name: &str, told: &str,
+        program: &str, arguments: &[String], folder: &Path, name: &str, config: &str,
     ) -> Self {
-        Self::start_with_log_level(STORY_LEVEL, program, arguments, folder, name, told)
+        Self::start_with_log_level(TEST_LOG_LEVEL, program, arguments, folder, name, config)
     }
 
     /// One that logs at such a level, as measurements want no line for each job.
     pub fn start_with_log_level(
-        level: &str, program: &str, arguments: &[String], folder: &Path, name: &str, told: &str,
+        level: &str, program: &str, arguments: &[String], folder: &Path, name: &str, config: &str,
     ) -> Self {
-        Self::within(Vec::new(), level, program, arguments, folder, name, told)
+        Self::start_with_environment(Vec::new(), level, program, arguments, folder, name, config)
     }
 
     /// One with faults of its system calls and its wall clock.
     pub fn start_with_preload(
-        preload: &Preload, program: &str, folder: &Path, name: &str, told: &str,
+        preload: &Preload, program: &str, folder: &Path, name: &str, config: &str,
     ) -> Self {
-        Self::within(preload.environment(), STORY_LEVEL, program, &[], folder, name, told)
+        Self::start_with_environment(
+            preload.environment(),
+            TEST_LOG_LEVEL,
+            program,
+            &[],
+            folder,
+            name,
+            config,
+        )
     }
 
     /// One whose log is read from a pipe, so that its reader can stand; with faults where there is a library for them.
     pub fn start_with_log_pipe(
-        preload: Option<&Preload>, program: &str, folder: &Path, name: &str, told: &str,
+        preload: Option<&Preload>, program: &str, folder: &Path, name: &str, config: &str,
     ) -> Self {
         let environment = preload.map(Preload::environment).unwrap_or_default();
-        let mut process = Self::unstarted(environment, STORY_LEVEL, program, &[], folder, name, told);
+        let mut process = Self::new_stopped(environment, TEST_LOG_LEVEL, program, &[], folder, name, config);
         process.reader = Some(LogReader::default());
         process.start_again();
         process
     }
 
-    fn within(
+    fn start_with_environment(
         environment: Vec<(String, String)>, level: &str, program: &str, arguments: &[String], folder: &Path,
-        name: &str, told: &str,
+        name: &str, config: &str,
     ) -> Self {
-        let mut process = Self::unstarted(environment, level, program, arguments, folder, name, told);
+        let mut process = Self::new_stopped(environment, level, program, arguments, folder, name, config);
         process.start_again();
         process
     }
 
-    fn unstarted(
+    fn new_stopped(
         environment: Vec<(String, String)>, level: &str, program: &str, arguments: &[String], folder: &Path,
-        name: &str, told: &str,
+        name: &str, config: &str,
     ) -> Self {
         fs::create_dir_all(folder).expect("a folder");
         let address = free_address();
-        let mut given: Value = serde_json::from_str(told).expect("a configuration");
-        (given["name"], given["listen"]) = (json!(name), json!(address.to_string()));
-        let config = folder.join(format!("{name}.json"));
-        fs::write(&config, given.to_string()).expect("a file");
-        let log = folder.join(format!("{name}.log"));
+        let mut config: Value = serde_json::from_str(config).expect("a configuration");
+        (config["name"], config["listen"]) = (json!(name), json!(address.to_string()));
+        let config_path = folder.join(format!("{name}.json"));
+        fs::write(&config_path, config.to_string()).expect("a file");
+        let log_path = folder.join(format!("{name}.log"));
         let (program, arguments) = (program.into(), arguments.to_vec());
         let (level, name) = (level.to_owned(), name.to_owned());
-        let (given, hidden, reader, child) = (Mutex::new(given), Mutex::new(None), None, None);
+        let (config, config_replacement, reader, child) = (Mutex::new(config), Mutex::new(None), None, None);
         Self {
             program,
             arguments,
+            config_path,
             config,
-            given,
-            hidden,
-            log,
+            config_replacement,
+            log_path,
             reader,
             level,
             environment,
@@ -139,15 +147,15 @@
     pub fn start_again(&mut self) {
         assert!(self.child.is_none(), "{} runs", self.name);
         self.restore_config();
-        let log = File::options().create(true).append(true).open(&self.log).expect("a log");
+        let log = File::options().create(true).append(true).open(&self.log_path).expect("a log");
         let mut command = command_killed_with_thread(&self.program);
-        command.env("LB_CONFIG", &self.config).env_remove("LB_LISTEN").env_remove("RUST_LOG");
+        command.env("LB_CONFIG", &self.config_path).env_remove("LB_LISTEN").env_remove("RUST_LOG");
         command.env("RUST_LOG", &self.level).args(["--log-format", "json"]);
         command.args(&self.arguments).envs(self.environment.iter().map(|(name, value)| (name, value)));
         let log = match &mut self.reader {
             Some(reader) => {
                 let (from, to) = std::io::pipe().expect("a pipe");
-                fcntl_setpipe_size(&to, PIPE_BYTES).expect("a small pipe");
+                fcntl_setpipe_size(&to, LOG_PIPE_BYTES).expect("a small pipe");
                 reader.finish();
                 reader.start(from, log);
                 Stdio::from(to)
@@ -160,40 +168,40 @@
 
     /// Changes what it is told from its next reading on.
     pub fn change_config(&self, change: impl FnOnce(&mut Value)) {
-        change(&mut self.given.lock().unwrap());
-        if self.hidden.lock().unwrap().is_none() {
+        change(&mut self.config.lock().unwrap());
+        if self.config_replacement.lock().unwrap().is_none() {
             self.write_config();
         }
     }
 
     fn write_config(&self) {
         // In one step, as a router may read it at any time.
-        let new = self.config.with_extension("new");
-        fs::write(&new, self.given.lock().unwrap().to_string()).expect("a file");
-        fs::rename(new, &self.config).expect("a file");
+        let new = self.config_path.with_extension("new");
+        fs::write(&new, self.config.lock().unwrap().to_string()).expect("a file");
+        fs::rename(new, &self.config_path).expect("a file");
     }
 
     /// Puts what can't be read in place of the configuration, until it is shown again or the process starts anew.
-    pub fn hide_config(&self, what: Unreadable) {
-        let new = self.config.with_extension("new");
-        match what {
-            Unreadable::Garbage => fs::write(&new, "no configuration").expect("a file"),
-            Unreadable::Fifo => {
+    pub fn hide_config(&self, replacement: UnreadableConfig) {
+        let new = self.config_path.with_extension("new");
+        match replacement {
+            UnreadableConfig::Garbage => fs::write(&new, "no configuration").expect("a file"),
+            UnreadableConfig::Fifo => {
                 mkfifoat(CWD, &new, Mode::RUSR | Mode::WUSR).expect("a FIFO");
             }
         }
-        fs::rename(new, &self.config).expect("a file");
-        *self.hidden.lock().unwrap() = Some(what);
+        fs::rename(new, &self.config_path).expect("a file");
+        *self.config_replacement.lock().unwrap() = Some(replacement);
     }
 
     pub fn restore_config(&self) {
-        if self.hidden.lock().unwrap().take().is_some() {
+        if self.config_replacement.lock().unwrap().take().is_some() {
             self.write_config();
         }
     }
 
     /// Has its log read so from now on; whether that can be.
-    pub fn read_log(&self, reading: Reading) -> bool {
+    pub fn read_log(&self, reading: LogReadMode) -> bool {
         self.reader.as_ref().inspect(|reader| reader.set(reading)).is_some()
     }
 
@@ -203,14 +211,14 @@
 
     /// Whether something else stands in place of its configuration.
     pub fn is_config_hidden(&self) -> bool {
-        self.hidden.lock().unwrap().is_some()
+        self.config_replacement.lock().unwrap().is_some()
     }
 
     /// Sends it a signal; one that the program catches not before it does, as it would end it.
     pub fn signal(&self, signal: Signal) {
         let id = self.id().expect("it runs");
         if [Signal::HUP, Signal::TERM, Signal::INT].contains(&signal) {
-            await_handler(id, signal);
+            wait_for_handler(id, signal);
         }
         kill_process(Pid::from_raw(id as i32).expect("a process"), signal).expect("a signal");
     }
@@ -245,12 +253,12 @@
 
     /// Waits for the end of one that was told to end.
     pub fn wait(&mut self) -> ExitStatus {
-        let by = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.try_wait() {
                 return status;
             }
-            if Instant::now() > by {
+            if Instant::now() > deadline {
                 self.kill();
                 panic!("{} did not end", self.name);
             }
@@ -261,21 +269,21 @@
     /// Whether it runs on: it was started and has not ended by itself.
     /// It is not waited for, so that its id stays its own.
     pub fn is_running(&self) -> bool {
-        let looks = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
+        let options = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
         let id = self.id().and_then(|id| Pid::from_raw(id as i32));
-        id.is_some_and(|id| waitid(WaitId::Pid(id), looks).expect("a child").is_none())
+        id.is_some_and(|id| waitid(WaitId::Pid(id), options).expect("a child").is_none())
     }
 
     /// Waits until it answers `ping` with true.
     pub fn wait_until_ready(&self) {
-        let by = Instant::now() + TEST_TIMEOUT;
-        while !self.pings() {
-            assert!(Instant::now() < by, "{} is not ready:\n{}", self.name, self.log_text());
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while !self.answers_ping() {
+            assert!(Instant::now() < deadline, "{} is not ready:\n{}", self.name, self.log_text());
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn pings(&self) -> bool {
+    fn answers_ping(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.address) else { return false };
         let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
         Client(stream).try_ping()
@@ -283,7 +291,7 @@
 
     /// All that it has logged, over its restarts.
     pub fn log_text(&self) -> String {
-        fs::read_to_string(&self.log).unwrap_or_default()
+        fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
     /// The lines of its log on a job, by the job's id.
@@ -297,23 +305,23 @@
     fn drop(&mut self) {
         self.kill();
         if !thread::panicking() {
-            let said = self.log_text();
-            let violation = said.lines().find(|line| line.contains("\"event\":\"violation\""));
+            let log = self.log_text();
+            let violation = log.lines().find(|line| line.contains("\"event\":\"violation\""));
             assert!(violation.is_none(), "{}: {}", self.name, violation.unwrap_or_default());
         }
     }
 }
 
 /// Waits until a process catches a signal, as one that has just begun does not yet; for so long at most.
-fn await_handler(id: u32, signal: Signal) {
-    let by = Instant::now() + CATCHES_BY;
-    while !catches(id, signal) && Instant::now() < by {
+fn wait_for_handler(id: u32, signal: Signal) {
+    let deadline = Instant::now() + HANDLER_WAIT_LIMIT;
+    while !has_handler(id, signal) && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 /// Whether the system tells that the process has a handler for the signal.
-fn catches(id: u32, signal: Signal) -> bool {
+fn has_handler(id: u32, signal: Signal) -> bool {
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
     let caught = caught.and_then(|mask| u64::from_str_radix(mask.trim(), 16).ok()).unwrap_or(0);
@@ -335,16 +343,20 @@
 /// A free port at an address of this process's own: one at 127.0.0.1 might be taken, between this look and the program's
 /// start, by any of the connections that stories make there.
 fn free_address() -> SocketAddr {
-    TcpListener::bind((own_loopback(), 0)).and_then(|listener| listener.local_addr()).expect("an address")
+    TcpListener::bind((unique_loopback_address(), 0))
+        .and_then(|listener| listener.local_addr())
+        .expect("an address")
 }
 
 /// The same for datagrams.
 pub fn free_datagram_address() -> SocketAddr {
-    UdpSocket::bind((own_loopback(), 0)).and_then(|socket| socket.local_addr()).expect("an address")
+    UdpSocket::bind((unique_loopback_address(), 0))
+        .and_then(|socket| socket.local_addr())
+        .expect("an address")
 }
 
 /// An address of the loopback network that is this process's own, another one each time.
-fn own_loopback() -> Ipv4Addr {
+fn unique_loopback_address() -> Ipv4Addr {
     static COUNT: AtomicU8 = AtomicU8::new(0);
     let (id, count) = (std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
     Ipv4Addr::new(127, 1 + (id >> 8 & 0x3f) as u8, id as u8, count)
--- a/crates/standins/src/relays.rs
+++ b/crates/standins/src/relays.rs
@@ -20,15 +20,15 @@
 use crate::ports;
 
 /// Bytes that are passed on at a time.
-const PIECE: usize = 8 * 1024;
+const CHUNK_BYTES: usize = 8 * 1024;
 /// The relays look so often whether their thread runs, and tell of a rest that is longer.
-const BEAT: Duration = Duration::from_millis(10);
-const LONG_REST: Duration = Duration::from_millis(50);
+const REST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const MIN_RECORDED_REST: Duration = Duration::from_millis(50);
 /// Rests that are told at the most.
-const MOST_RESTS: usize = 200;
+const MAX_RECORDED_RESTS: usize = 200;
 /// Own connections that fill a listener's queue during a cut.
-const FILLERS: usize = 4;
-const QUEUE: i32 = 1024;
+const FILLER_COUNT: usize = 4;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// Whom something befalls.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,13 +74,13 @@
     pub span: Duration,
 }
 
-struct Place {
+struct Location {
     zone: String,
     region: String,
 }
 
 /// A way through for connections.
-struct Passage {
+struct ConnectionRelay {
     from: String,
     to: String,
     listener: Arc<Async<TcpListener>>,
@@ -94,52 +94,52 @@
     fillers: Vec<Socket>,
 }
 
-impl Passage {
-    fn block(&mut self, cut: bool, spent: &mut BTreeSet<(u16, u16)>) {
+impl ConnectionRelay {
+    fn block(&mut self, cut: bool, filler_ports: &mut BTreeSet<(u16, u16)>) {
         if cut != self.fillers.is_empty() || self.refuses.load(Ordering::SeqCst) {
             return;
         }
         let listener = SockRef::from(self.listener.get_ref());
-        let _ = listener.listen(if cut { 0 } else { QUEUE });
+        let _ = listener.listen(if cut { 0 } else { LISTEN_BACKLOG });
         self.fillers.clear();
         let Some(at) = self.listener.get_ref().local_addr().ok().filter(|_| cut) else { return };
-        for _ in 0..FILLERS {
+        for _ in 0..FILLER_COUNT {
             let Ok(filler) = Socket::new(Domain::IPV4, Type::STREAM, None) else { continue };
             let _ = filler.set_nonblocking(true);
             let _ = filler.connect(&at.into());
             let own = filler.local_addr().ok().and_then(|own| own.as_socket());
-            spent.extend(own.map(|own| (at.port(), own.port())));
+            filler_ports.extend(own.map(|own| (at.port(), own.port())));
             self.fillers.push(filler);
         }
     }
 }
 
-struct Inner {
-    places: BTreeMap<String, Place>,
+struct State {
+    places: BTreeMap<String, Location>,
     /// The latest that fits counts.
-    laid: Vec<(EndpointSet, EndpointSet, Way)>,
+    ways: Vec<(EndpointSet, EndpointSet, Way)>,
     /// Whether anything was ever laid.
-    held_up: bool,
-    chance: Pcg32,
-    passages: Vec<Passage>,
+    ever_had_ways: bool,
+    rng: Pcg32,
+    connection_relays: Vec<ConnectionRelay>,
     rests: Vec<Rest>,
     /// Listener's and own connection's ports; each goes as its connection is taken in, a few a cut stay for good.
-    spent: BTreeSet<(u16, u16)>,
+    filler_ports: BTreeSet<(u16, u16)>,
     /// Connections that are up, each with its end; emptied as they end.
-    up: BTreeMap<u64, (String, String, Arc<Broken>)>,
+    connections: BTreeMap<u64, (String, String, Arc<ResetRequest>)>,
     count: u64,
     /// By name: the address that others know, and the one behind it.
-    mail: BTreeMap<String, (Arc<Async<UdpSocket>>, SocketAddr)>,
+    datagram_relays: BTreeMap<String, (Arc<Async<UdpSocket>>, SocketAddr)>,
 }
 
 #[derive(Default)]
-struct Broken {
+struct ResetRequest {
     is: AtomicBool,
     told: Event,
 }
 
 struct Shared {
-    inner: Mutex<Inner>,
+    state: Mutex<State>,
     changed: Event,
 }
 
@@ -147,36 +147,36 @@
 pub struct Relays {
     shared: Arc<Shared>,
     executor: Arc<Executor<'static>>,
-    _over: async_channel::Sender<()>,
+    _shutdown: async_channel::Sender<()>,
 }
 
 impl Relays {
     pub fn new(seed: u64) -> Self {
-        let inner = Inner {
+        let state = State {
             places: BTreeMap::new(),
-            laid: Vec::new(),
-            held_up: false,
-            chance: Pcg32::seed_from_u64(seed),
-            passages: Vec::new(),
+            ways: Vec::new(),
+            ever_had_ways: false,
+            rng: Pcg32::seed_from_u64(seed),
+            connection_relays: Vec::new(),
             rests: Vec::new(),
-            spent: BTreeSet::new(),
-            up: BTreeMap::new(),
+            filler_ports: BTreeSet::new(),
+            connections: BTreeMap::new(),
             count: 0,
-            mail: BTreeMap::new(),
+            datagram_relays: BTreeMap::new(),
         };
         let executor = Arc::new(Executor::new());
-        let (over, ended) = async_channel::bounded::<()>(1);
+        let (shutdown, ended) = async_channel::bounded::<()>(1);
         let runs = executor.clone();
         thread::spawn(move || async_io::block_on(runs.run(ended.recv())));
-        let shared = Arc::new(Shared { inner: Mutex::new(inner), changed: Event::new() });
+        let shared = Arc::new(Shared { state: Mutex::new(state), changed: Event::new() });
         executor.spawn(watch_rests(shared.clone())).detach();
-        Self { shared, executor, _over: over }
+        Self { shared, executor, _shutdown: shutdown }
     }
 
     /// Names a party and where it stands.
     pub fn add_party(&self, name: &str, zone: &str, region: &str) {
-        let place = Place { zone: zone.to_owned(), region: region.to_owned() };
-        self.shared.inner.lock().unwrap().places.insert(name.to_owned(), place);
+        let place = Location { zone: zone.to_owned(), region: region.to_owned() };
+        self.shared.state.lock().unwrap().places.insert(name.to_owned(), place);
     }
 
     /// An address at which `from` reaches `to`, which listens at `target`.
@@ -185,7 +185,7 @@
         let address = listener.get_ref().local_addr().expect("an address");
         let (accepts, refuses) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let target = Arc::new(Mutex::new(target));
-        let passage = Passage {
+        let passage = ConnectionRelay {
             from: from.into(),
             to: to.into(),
             listener: listener.clone(),
@@ -194,18 +194,18 @@
             refuses: refuses.clone(),
             fillers: Vec::new(),
         };
-        self.shared.inner.lock().unwrap().passages.push(passage);
-        self.shared.block_ways();
+        self.shared.state.lock().unwrap().connection_relays.push(passage);
+        self.shared.update_listeners();
         let (shared, weak) = (self.shared.clone(), Arc::downgrade(&self.executor));
         let (from, to) = (from.to_owned(), to.to_owned());
-        let takes_in = async move {
+        let accept_loop = async move {
             loop {
                 let changed = shared.changed.listen();
                 if refuses.load(Ordering::SeqCst) {
                     accepts.store(false, Ordering::SeqCst);
                     return;
                 }
-                let open = !shared.inner.lock().unwrap().is_cut(&from, &to);
+                let open = !shared.state.lock().unwrap().is_cut(&from, &to);
                 accepts.store(open, Ordering::SeqCst);
                 if !open {
                     changed.await;
@@ -217,16 +217,18 @@
                     None
                 };
                 let Some((stream, peer)) = accepted.or(cut).await else { continue };
-                if shared.inner.lock().unwrap().is_filler(address, peer) {
+                if shared.state.lock().unwrap().is_filler(address, peer) {
                     continue;
                 }
                 let Some(executor) = weak.upgrade() else { return };
                 let (shared, from, to) = (shared.clone(), from.clone(), to.clone());
                 let target = *target.lock().unwrap();
-                executor.spawn(async move { carry(&shared, &from, &to, stream, target).await }).detach();
+                executor
+                    .spawn(async move { relay_connection(&shared, &from, &to, stream, target).await })
+                    .detach();
             }
         };
-        self.executor.spawn(takes_in).detach();
+        self.executor.spawn(accept_loop).detach();
         address
     }
 
@@ -236,13 +238,13 @@
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0)).expect("an address");
         let address = socket.get_ref().local_addr().expect("an address");
         let socket = Arc::new(socket);
-        self.shared.inner.lock().unwrap().mail.insert(name.to_owned(), (socket.clone(), own));
+        self.shared.state.lock().unwrap().datagram_relays.insert(name.to_owned(), (socket.clone(), own));
         let (shared, name, weak) = (self.shared.clone(), name.to_owned(), Arc::downgrade(&self.executor));
-        let receives = async move {
+        let receive_loop = async move {
             let mut bytes = [0; 2048];
             while let Ok((length, sender)) = socket.recv_from(&mut bytes).await {
                 let Some(executor) = weak.upgrade() else { return };
-                for (after, socket, to) in shared.inner.lock().unwrap().deliveries(sender, &name) {
+                for (after, socket, to) in shared.state.lock().unwrap().deliveries(sender, &name) {
                     let bytes = bytes[..length].to_vec();
                     let delivered = async move {
                         Timer::after(after).await;
@@ -252,57 +254,57 @@
                 }
             }
         };
-        self.executor.spawn(receives).detach();
+        self.executor.spawn(receive_loop).detach();
         address
     }
 
     /// What goes from one side to the other goes so from now on; all of it begins at once, and the last that fits counts.
     pub fn set_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
-        let mut inner = self.shared.inner.lock().unwrap();
-        inner.laid.extend(ways);
-        inner.held_up = true;
-        drop(inner);
-        self.shared.block_ways();
+        let mut state = self.shared.state.lock().unwrap();
+        state.ways.extend(ways);
+        state.ever_had_ways = true;
+        drop(state);
+        self.shared.update_listeners();
     }
 
     /// Whether anything went otherwise than at the start at any time, so that bytes may have come later than they were sent.
     pub fn ever_had_ways(&self) -> bool {
-        self.shared.inner.lock().unwrap().held_up
+        self.shared.state.lock().unwrap().ever_had_ways
     }
 
     /// What was laid so goes as before that.
     pub fn remove_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
-        let mut inner = self.shared.inner.lock().unwrap();
+        let mut state = self.shared.state.lock().unwrap();
         for way in ways {
-            if let Some(place) = inner.laid.iter().rposition(|laid| *laid == way) {
-                inner.laid.remove(place);
+            if let Some(place) = state.ways.iter().rposition(|ways| *ways == way) {
+                state.ways.remove(place);
             }
         }
-        drop(inner);
-        self.shared.block_ways();
+        drop(state);
+        self.shared.update_listeners();
     }
 
     /// All goes as at the start.
     pub fn heal(&self) {
-        self.shared.inner.lock().unwrap().laid.clear();
-        self.shared.block_ways();
+        self.shared.state.lock().unwrap().ways.clear();
+        self.shared.update_listeners();
     }
 
     /// From now on nothing takes connections to this party in: they are refused. Those that are up go on.
     pub fn refuse_connections(&self, party: &str) {
-        let mut inner = self.shared.inner.lock().unwrap();
-        for passage in inner.passages.iter_mut().filter(|passage| passage.to == party) {
+        let mut state = self.shared.state.lock().unwrap();
+        for passage in state.connection_relays.iter_mut().filter(|passage| passage.to == party) {
             passage.refuses.store(true, Ordering::SeqCst);
             let _ = SockRef::from(passage.listener.get_ref()).shutdown(std::net::Shutdown::Both);
         }
-        drop(inner);
+        drop(state);
         self.shared.changed.notify(usize::MAX);
     }
 
     /// From now on connections to this party lead to another process at its port. Those that are up go on.
     pub fn redirect(&self, party: &str, target: SocketAddr) {
-        let inner = self.shared.inner.lock().unwrap();
-        for passage in inner.passages.iter().filter(|passage| passage.to == party) {
+        let state = self.shared.state.lock().unwrap();
+        for passage in state.connection_relays.iter().filter(|passage| passage.to == party) {
             *passage.target.lock().unwrap() = target;
         }
     }
@@ -315,23 +317,23 @@
     /// When the relays' thread did not run for long, as on a machine that is busy with other work: what passed then came later than it was
     /// sent.
     pub fn rests(&self) -> Vec<Rest> {
-        self.shared.inner.lock().unwrap().rests.clone()
+        self.shared.state.lock().unwrap().rests.clone()
     }
 
     /// Resets the connections that are up from one side to the other; how many.
     pub fn reset(&self, from: &EndpointSet, to: &EndpointSet) -> usize {
-        let inner = self.shared.inner.lock().unwrap();
-        let hit = inner.up.values().filter(|(a, b, _)| inner.is_of(a, from) && inner.is_of(b, to));
-        hit.map(|(.., broken)| {
-            broken.is.store(true, Ordering::Relaxed);
-            broken.told.notify(usize::MAX);
+        let state = self.shared.state.lock().unwrap();
+        let hit = state.connections.values().filter(|(a, b, _)| state.is_in(a, from) && state.is_in(b, to));
+        hit.map(|(.., reset_request)| {
+            reset_request.is.store(true, Ordering::Relaxed);
+            reset_request.told.notify(usize::MAX);
         })
         .count()
     }
 }
 
-impl Inner {
-    fn is_of(&self, name: &str, side: &EndpointSet) -> bool {
+impl State {
+    fn is_in(&self, name: &str, side: &EndpointSet) -> bool {
         let place = self.places.get(name);
         match side {
             EndpointSet::All => true,
@@ -342,13 +344,13 @@
     }
 
     fn way(&self, from: &str, to: &str) -> Way {
-        let fits = |(a, b, _): &&(EndpointSet, EndpointSet, Way)| self.is_of(from, a) && self.is_of(to, b);
-        self.laid.iter().rev().find(fits).map(|(.., way)| *way).unwrap_or_default()
+        let fits = |(a, b, _): &&(EndpointSet, EndpointSet, Way)| self.is_in(from, a) && self.is_in(to, b);
+        self.ways.iter().rev().find(fits).map(|(.., way)| *way).unwrap_or_default()
     }
 
     fn delay(&mut self, way: &Way) -> Duration {
         let (least, most) = way.delay;
-        let drawn = least as f64 + most.saturating_sub(least) as f64 * self.chance.random::<f64>();
+        let drawn = least as f64 + most.saturating_sub(least) as f64 * self.rng.random::<f64>();
         Duration::from_secs_f64(drawn / 1e3)
     }
 
@@ -358,21 +360,22 @@
 
     /// Whether a connection is one of the network's own. Those that stood in a queue at the end of a cut come then.
     fn is_filler(&mut self, at: SocketAddr, peer: SocketAddr) -> bool {
-        self.spent.remove(&(at.port(), peer.port()))
+        self.filler_ports.remove(&(at.port(), peer.port()))
     }
 
     /// What becomes of a datagram to a party: when it goes on, from which socket and where to, for each copy.
     fn deliveries(
         &mut self, sender: SocketAddr, to: &str,
     ) -> Vec<(Duration, Arc<Async<UdpSocket>>, SocketAddr)> {
-        let from = self.mail.iter().find(|(_, (_, own))| *own == sender).map(|(name, _)| name.clone());
+        let from =
+            self.datagram_relays.iter().find(|(_, (_, own))| *own == sender).map(|(name, _)| name.clone());
         let Some(from) = from else { return Vec::new() };
         let way = self.way(&from, to);
-        if way.cut || self.chance.random_bool(way.loss) {
+        if way.cut || self.rng.random_bool(way.loss) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(self.chance.random_bool(way.twice));
-        let (socket, own) = (self.mail[&from].0.clone(), self.mail[to].1);
+        let copies = 1 + usize::from(self.rng.random_bool(way.twice));
+        let (socket, own) = (self.datagram_relays[&from].0.clone(), self.datagram_relays[to].1);
         (0..copies).map(|_| (self.delay(&way), socket.clone(), own)).collect()
     }
 }
@@ -380,21 +383,23 @@
 impl Shared {
     /// Connections across a cut don't come up: once its relay takes none in, the queue of its listener is made short and
     /// filled, so that the system drops what asks for more, as where nothing is heard of the other end.
-    fn block_ways(&self) {
+    fn update_listeners(&self) {
         self.changed.notify(usize::MAX);
         let by = Instant::now() + Duration::from_secs(5);
         loop {
-            let mut inner = self.inner.lock().unwrap();
-            let cuts: Vec<bool> = inner.passages.iter().map(|p| inner.is_cut(&p.from, &p.to)).collect();
-            let still = |(passage, cut): (&Passage, &bool)| *cut && passage.accepts.load(Ordering::SeqCst);
-            if inner.passages.iter().zip(&cuts).any(still) && Instant::now() < by {
-                drop(inner);
+            let mut state = self.state.lock().unwrap();
+            let cuts: Vec<bool> =
+                state.connection_relays.iter().map(|p| state.is_cut(&p.from, &p.to)).collect();
+            let still =
+                |(passage, cut): (&ConnectionRelay, &bool)| *cut && passage.accepts.load(Ordering::SeqCst);
+            if state.connection_relays.iter().zip(&cuts).any(still) && Instant::now() < by {
+                drop(state);
                 thread::sleep(Duration::from_millis(1));
                 continue;
             }
-            let Inner { passages, spent, .. } = &mut *inner;
-            for (passage, cut) in passages.iter_mut().zip(cuts) {
-                passage.block(cut, spent);
+            let State { connection_relays, filler_ports, .. } = &mut *state;
+            for (passage, cut) in connection_relays.iter_mut().zip(cuts) {
+                passage.block(cut, filler_ports);
             }
             break;
         }
@@ -402,14 +407,14 @@
     }
 
     /// Until so many bytes have gone one way.
-    async fn passes(&self, from: &str, to: &str, bytes: usize) {
+    async fn wait_to_pass(&self, from: &str, to: &str, bytes: usize) {
         let mut under_way = false;
         loop {
             let changed = self.changed.listen();
             let (way, delay) = {
-                let mut inner = self.inner.lock().unwrap();
-                let way = inner.way(from, to);
-                (way, inner.delay(&way))
+                let mut state = self.state.lock().unwrap();
+                let way = state.way(from, to);
+                (way, state.delay(&way))
             };
             if way.cut {
                 changed.await;
@@ -430,37 +435,39 @@
 
 async fn watch_rests(shared: Arc<Shared>) {
     loop {
-        let due = Instant::now() + BEAT;
+        let due = Instant::now() + REST_CHECK_INTERVAL;
         Timer::at(due).await;
         let span = Instant::now().saturating_duration_since(due);
-        let mut inner = shared.inner.lock().unwrap();
-        if span > LONG_REST && inner.rests.len() < MOST_RESTS {
-            inner.rests.push(Rest { from: due, span });
+        let mut state = shared.state.lock().unwrap();
+        if span > MIN_RECORDED_REST && state.rests.len() < MAX_RECORDED_RESTS {
+            state.rests.push(Rest { from: due, span });
         }
     }
 }
 
 /// One connection, from the time it comes up. One that was asked for before a cut and not yet taken in comes to nothing.
-async fn carry(shared: &Shared, from: &str, to: &str, client: Async<TcpStream>, target: SocketAddr) {
-    let broken = Arc::new(Broken::default());
+async fn relay_connection(
+    shared: &Shared, from: &str, to: &str, client: Async<TcpStream>, target: SocketAddr,
+) {
+    let reset_request = Arc::new(ResetRequest::default());
     let number = {
-        let mut inner = shared.inner.lock().unwrap();
-        if inner.is_cut(from, to) {
-            return end(&client);
+        let mut state = shared.state.lock().unwrap();
+        if state.is_cut(from, to) {
+            return reset_on_close(&client);
         }
-        inner.count += 1;
-        let number = inner.count;
-        inner.up.insert(number, (from.to_owned(), to.to_owned(), broken.clone()));
+        state.count += 1;
+        let number = state.count;
+        state.connections.insert(number, (from.to_owned(), to.to_owned(), reset_request.clone()));
         number
     };
     let connected = async {
-        shared.passes(from, to, 0).await;
+        shared.wait_to_pass(from, to, 0).await;
         Async::<TcpStream>::connect(target).await
     };
     let reset = async {
-        while !broken.is.load(Ordering::Relaxed) {
-            let told = broken.told.listen();
-            if broken.is.load(Ordering::Relaxed) {
+        while !reset_request.is.load(Ordering::Relaxed) {
+            let told = reset_request.told.listen();
+            if reset_request.is.load(Ordering::Relaxed) {
                 break;
             }
             told.await;
@@ -474,33 +481,33 @@
         let back = pump(shared, to, from, &server, &client);
         let ended = futures_lite::future::try_zip(there, back).await;
         if ended.is_err() {
-            end(&server);
+            reset_on_close(&server);
         }
         ended.map(|_| ())
     };
     let ended: io::Result<()> = reset.or(carried).await;
     if ended.is_err() {
-        end(&client);
+        reset_on_close(&client);
     }
-    shared.inner.lock().unwrap().up.remove(&number);
+    shared.state.lock().unwrap().connections.remove(&number);
 }
 
 /// A reset in place of an orderly close.
-fn end(stream: &Async<TcpStream>) {
+fn reset_on_close(stream: &Async<TcpStream>) {
     let _ = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
 }
 
 async fn pump(
     shared: &Shared, from: &str, to: &str, mut reads: &Async<TcpStream>, mut writes: &Async<TcpStream>,
 ) -> io::Result<()> {
-    let mut piece = vec![0; PIECE];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let count = reads.read(&mut piece).await?;
-        shared.passes(from, to, count).await;
+        let count = reads.read(&mut chunk).await?;
+        shared.wait_to_pass(from, to, count).await;
         if count == 0 {
             let _ = writes.get_ref().shutdown(std::net::Shutdown::Write);
             return Ok(());
         }
-        writes.write_all(&piece[..count]).await?;
+        writes.write_all(&chunk[..count]).await?;
     }
 }
--- a/crates/standins/src/routers.rs
+++ b/crates/standins/src/routers.rs
@@ -15,7 +15,7 @@
 use crate::discovery::{DiscoveryEvents, roster_member};
 
 /// What a router is told; `look` may run again, `load` must not run twice.
-pub fn router_config(engines: &[SocketAddr], bulletin: SocketAddr, descriptors: usize) -> String {
+pub fn router_config(engines: &[SocketAddr], bulletin: SocketAddr, max_sockets: usize) -> String {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "goalTimeUs": 2_000_000, "deadlineUs": 60_000_000, "gain": 1.0, "lateWorth": 1.0,
             "effect": effect})
@@ -24,7 +24,7 @@
         engines.iter().enumerate().map(|(number, at)| roster_member(&format!("s-{number}"), *at, "SERVING"));
     let roster = json!({"revision": 1, "complete": true, "members": members.collect::<Vec<_>>()});
     json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": descriptors},
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": max_sockets},
         "bulletin": bulletin.to_string(),
         "known": {"no": 1, "items": [{"no": 1, "roster": roster}]},
         "settings": {"replicasOfMe": 1, "myNumber": 0, "zone": "a", "zones": ["a"], "kinds": ["k"], "tenants": [],
@@ -56,28 +56,36 @@
         Self::start(engines, DiscoveryEvents::default().serve().address)
     }
 
-    pub fn start_with_config(told: &str) -> Self {
-        Self::start_with_gossip(told, None)
+    pub fn start_with_config(config: &str) -> Self {
+        Self::start_with_gossip(config, None)
     }
 
     /// One that talks with other routers.
-    pub fn start_with_gossip(told: &str, talk: Option<GossipSetup>) -> Self {
-        Self::start_with_operator_file(told, talk, OperatorFile::default())
+    pub fn start_with_gossip(config: &str, gossip: Option<GossipSetup>) -> Self {
+        Self::start_with_operator_file(config, gossip, OperatorFile::default())
     }
 
     /// One with an operator file.
-    pub fn start_with_operator_file(told: &str, talk: Option<GossipSetup>, sheet: OperatorFile) -> Self {
-        let given = config::parse(told, None).unwrap();
-        let listener = TcpListener::bind(given.listen).unwrap();
+    pub fn start_with_operator_file(
+        config: &str, gossip: Option<GossipSetup>, operator_file: OperatorFile,
+    ) -> Self {
+        let parsed = config::parse(config, None).unwrap();
+        let listener = TcpListener::bind(parsed.listen).unwrap();
         let address = listener.local_addr().unwrap();
-        let (orders, heard) = async_channel::bounded(4);
+        let (commands, received) = async_channel::bounded(4);
         let (end, ended) = mpsc::channel();
         thread::spawn(move || {
             let tasks = Tasks::default();
-            let _ =
-                end.send(async_io::block_on(tasks.run(serve(tasks, given, listener, heard, talk, &sheet))));
+            let _ = end.send(async_io::block_on(tasks.run(serve(
+                tasks,
+                parsed,
+                listener,
+                received,
+                gossip,
+                &operator_file,
+            ))));
         });
-        Self { address, commands: orders, ended }
+        Self { address, commands, ended }
     }
 
     pub fn expect_clean_end(&self) {
--- a/crates/standins/src/troubles.rs
+++ b/crates/standins/src/troubles.rs
@@ -7,22 +7,22 @@
 use rand_pcg::Pcg32;
 use rustix::io::Errno;
 
-use crate::log_reader::Reading;
+use crate::log_reader::LogReadMode;
 use crate::preload::SystemCall;
-use crate::processes::Unreadable;
+use crate::processes::UnreadableConfig;
 
 /// Hours and seconds by which wall clocks step, in milliseconds.
-const STEPS: [i64; 4] = [3_600_000, -3_600_000, 1_300, -1_300];
+const CLOCK_STEPS_MS: [i64; 4] = [3_600_000, -3_600_000, 1_300, -1_300];
 /// Groups of troubles begin so far apart, in milliseconds.
-const GROUPS_APART: u64 = 1_600;
+const GROUP_INTERVAL_MS: u64 = 1_600;
 /// Discovery answers so late at the most, in milliseconds: half of the grace of the rig's fleets.
-const MOST_LATE: u64 = 1_900;
+const MAX_DISCOVERY_DELAY_MS: u64 = 1_900;
 /// And for so long, in milliseconds.
-const LONG_LATE: u64 = 9_000;
+const DISCOVERY_DELAY_SPAN_MS: u64 = 9_000;
 /// Nobody reads a log, or writes to a FIFO, for so long, in milliseconds.
-const LONG_UNREAD: u64 = 9_000;
+const UNREAD_SPAN_MS: u64 = 9_000;
 /// Troubles of a group begin within this, in milliseconds.
-const WITHIN_GROUP: u64 = 300;
+const GROUP_SPREAD_MS: u64 = 300;
 
 /// How an engine misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 
 /// How a client misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RudeClient {
+pub enum MisbehavingClient {
     /// Begins a message and rests.
     HalfMessage,
     /// Sends many requests at once and goes.
@@ -67,14 +67,14 @@
 
 /// A signal of the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorSignal {
     Reload,
     Terminate,
     Interrupt,
 }
 
 /// A signal, so many milliseconds behind the one before.
-pub type TimedOrder = (u64, Order);
+pub type TimedSignal = (u64, OperatorSignal);
 
 /// One trouble. Routers and engines are told by number, spans in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -151,14 +151,14 @@
     },
     Rude {
         router: usize,
-        client: RudeClient,
+        client: MisbehavingClient,
         count: usize,
     },
     /// Signals in a row, one to end among them, while clients go on over open connections until the process is killed, at the page's
     /// earliest. The span is the time until then, from the first signal to end on.
     Stop {
         router: usize,
-        orders: Vec<TimedOrder>,
+        orders: Vec<TimedSignal>,
         span: u64,
     },
     /// So many clients connect and say nothing.
@@ -170,13 +170,13 @@
     /// The log of the process is not read, or slowly.
     Log {
         router: usize,
-        reading: Reading,
+        reading: LogReadMode,
         span: u64,
     },
     /// The configuration can't be read, with a reload; then it can, with another.
     Config {
         router: usize,
-        what: Unreadable,
+        what: UnreadableConfig,
         span: u64,
     },
     /// The engine drains, refuses connections and works on, while clients leave whose loads run there; what is up there may be reset once. In
@@ -215,7 +215,7 @@
             | Self::Drain { span, .. }
             | Self::TakenPort { span, .. }
             | Self::Cut { span, .. } => *span,
-            Self::Restart { .. } => RESTART,
+            Self::Restart { .. } => RESTART_SPAN_MS,
             _ => 0,
         }
     }
@@ -223,8 +223,8 @@
     /// How long it takes to begin.
     pub fn beginning(&self) -> Duration {
         match self {
-            Self::Drain { resets: true, .. } => LOADS_BEGIN + BEFORE_RESET,
-            Self::Drain { .. } | Self::TakenPort { .. } => LOADS_BEGIN,
+            Self::Drain { resets: true, .. } => LOAD_START_TIME + RESET_DELAY,
+            Self::Drain { .. } | Self::TakenPort { .. } => LOAD_START_TIME,
             _ => Duration::ZERO,
         }
     }
@@ -272,15 +272,15 @@
 }
 
 /// A router that is told to end has ended by then, in milliseconds.
-const RESTART: u64 = 4_500;
+const RESTART_SPAN_MS: u64 = 4_500;
 /// The page's earliest kill behind a signal to end, in milliseconds: the longest deadline, 3 s at most, and 0.7 s.
-pub(crate) const EARLIEST_KILL: u64 = 3_700;
+pub(crate) const EARLIEST_KILL_MS: u64 = 3_700;
 /// Loads have begun by so long behind their requests.
-pub(crate) const LOADS_BEGIN: Duration = Duration::from_millis(100);
+pub(crate) const LOAD_START_TIME: Duration = Duration::from_millis(100);
 /// Between an engine's port that closes and the reset of what is up there.
-pub(crate) const BEFORE_RESET: Duration = Duration::from_millis(60);
+pub(crate) const RESET_DELAY: Duration = Duration::from_millis(60);
 /// Idle clients of a crowd: more than the rig's routers have descriptors for (a third of 512).
-const CROWD: std::ops::Range<usize> = 180..260;
+const CROWD_SIZES: std::ops::Range<usize> = 180..260;
 
 /// A trouble and when it begins, in milliseconds from the start.
 #[derive(Clone, Debug, PartialEq)]
@@ -299,28 +299,28 @@
 impl Plan {
     /// Groups of two or three troubles that overlap, for so many milliseconds, behind a quiet time of any length.
     pub fn draw(seed: u64, routers: usize, engines: usize, length: u64) -> Self {
-        let mut chance = Pcg32::seed_from_u64(seed);
-        let (mut troubles, mut start) = (Vec::new(), chance.random_range(0..length / 3));
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let (mut troubles, mut start) = (Vec::new(), rng.random_range(0..length / 3));
         while start < length {
             // Troubles of one group meet at the same few routers.
-            let mut at_hand: Vec<usize> = (0..routers).collect();
-            at_hand.shuffle(&mut chance);
-            at_hand.truncate(2);
-            for _ in 0..chance.random_range(2..=3) {
-                let at = start + chance.random_range(0..WITHIN_GROUP);
-                let router = at_hand[chance.random_range(0..at_hand.len())];
-                let trouble = draw_one(&mut chance, router, routers, engines);
+            let mut group_routers: Vec<usize> = (0..routers).collect();
+            group_routers.shuffle(&mut rng);
+            group_routers.truncate(2);
+            for _ in 0..rng.random_range(2..=3) {
+                let at = start + rng.random_range(0..GROUP_SPREAD_MS);
+                let router = group_routers[rng.random_range(0..group_routers.len())];
+                let trouble = draw_trouble(&mut rng, router, routers, engines);
                 // What hides or misjudges a change of the list meets one.
                 if matches!(trouble, Trouble::Discovery { .. } | Trouble::Herd { .. }) {
-                    let replace = Trouble::Replace { engines: vec![chance.random_range(0..engines)] };
-                    troubles.push(Timed { at: at + chance.random_range(0..WITHIN_GROUP), trouble: replace });
+                    let replace = Trouble::Replace { engines: vec![rng.random_range(0..engines)] };
+                    troubles.push(Timed { at: at + rng.random_range(0..GROUP_SPREAD_MS), trouble: replace });
                 }
                 troubles.push(Timed { at, trouble });
             }
-            start += GROUPS_APART;
+            start += GROUP_INTERVAL_MS;
         }
-        if seed >= LATER_TROUBLES_FROM {
-            troubles.extend(draw_later(&mut chance, routers, engines, length));
+        if seed >= FIRST_SEED_WITH_ADDED_TROUBLES {
+            troubles.extend(draw_added_troubles(&mut rng, routers, engines, length));
         }
         troubles.sort_by_key(|timed| timed.at);
         Self { seed, troubles }
@@ -328,41 +328,41 @@
 
     /// What is left when one trouble after another is taken out, as long as the play goes on failing.
     pub fn shrink(&self, mut fails: impl FnMut(&Self) -> bool) -> Self {
-        let mut least = self.clone();
-        for place in (0..least.troubles.len()).rev() {
-            let mut fewer = least.clone();
-            fewer.troubles.remove(place);
-            if fails(&fewer) {
-                least = fewer;
+        let mut smallest = self.clone();
+        for place in (0..smallest.troubles.len()).rev() {
+            let mut candidate = smallest.clone();
+            candidate.troubles.remove(place);
+            if fails(&candidate) {
+                smallest = candidate;
             }
         }
-        least
+        smallest
     }
 }
 
 /// Seeds from here on draw further troubles behind all others, so that the schedules of earlier seeds stay as they are.
-pub const LATER_TROUBLES_FROM: u64 = 100_000;
+pub const FIRST_SEED_WITH_ADDED_TROUBLES: u64 = 100_000;
 /// How long accepts fail at the most, in milliseconds.
-const LONG_FAILING_ACCEPTS: u64 = 4_000;
+const MAX_FAILING_ACCEPTS_MS: u64 = 4_000;
 
 /// A port that another engine's process takes, loads that are left at an engine that fails soon after, and accepts that fail for seconds.
-fn draw_later(chance: &mut Pcg32, routers: usize, engines: usize, length: u64) -> Vec<Timed> {
-    let mut at = || chance.random_range(0..length);
+fn draw_added_troubles(rng: &mut Pcg32, routers: usize, engines: usize, length: u64) -> Vec<Timed> {
+    let mut at = || rng.random_range(0..length);
     let (taken, left, accepts) = (at(), at(), at());
-    let engine = chance.random_range(0..engines);
-    let by = (engine + chance.random_range(1..engines)) % engines;
-    let span = chance.random_range(2_000..5_000);
+    let engine = rng.random_range(0..engines);
+    let by = (engine + rng.random_range(1..engines)) % engines;
+    let span = rng.random_range(2_000..5_000);
     let fails = Trouble::Engine {
-        engine: chance.random_range(0..engines),
+        engine: rng.random_range(0..engines),
         mode: EngineMode::Fails,
-        span: chance.random_range(1_000..4_000),
+        span: rng.random_range(1_000..4_000),
     };
-    let error = if chance.random() { Errno::INTR } else { Errno::NFILE };
-    let span_of_accepts = chance.random_range(LONG_FAILING_ACCEPTS / 2..LONG_FAILING_ACCEPTS);
-    let router = chance.random_range(0..routers);
+    let error = if rng.random() { Errno::INTR } else { Errno::NFILE };
+    let span_of_accepts = rng.random_range(MAX_FAILING_ACCEPTS_MS / 2..MAX_FAILING_ACCEPTS_MS);
+    let router = rng.random_range(0..routers);
     let accept = SystemCall::Accept;
     let failing = Trouble::Calls { router, call: accept, every: 1, error, span: span_of_accepts };
-    let loads_begin = LOADS_BEGIN.as_millis() as u64;
+    let loads_begin = LOAD_START_TIME.as_millis() as u64;
     vec![
         Timed { at: taken, trouble: Trouble::TakenPort { engine, by, span } },
         Timed { at: left, trouble: Trouble::LeaveLoads },
@@ -372,115 +372,123 @@
 }
 
 /// What may be drawn; clients that misbehave are drawn for all that has no number of its own.
-const DRAWS: u32 = 24;
+const DRAW_COUNT: u32 = 24;
 
-fn draw_one(chance: &mut Pcg32, router: usize, routers: usize, engines: usize) -> Trouble {
-    let (engine, span) = (chance.random_range(0..engines), chance.random_range(300..1_500));
-    match chance.random_range(0..DRAWS) {
+fn draw_trouble(rng: &mut Pcg32, router: usize, routers: usize, engines: usize) -> Trouble {
+    let (engine, span) = (rng.random_range(0..engines), rng.random_range(300..1_500));
+    match rng.random_range(0..DRAW_COUNT) {
         0 => Trouble::Stand { router, span },
         1 => Trouble::Kill { router, span: span / 4 },
         2 => Trouble::Restart { router },
-        3 => Trouble::Reload { router, times: chance.random_range(2..12) },
+        3 => Trouble::Reload { router, times: rng.random_range(2..12) },
         4 => Trouble::Move,
         5 => {
             // Late for longer than the grace, so that a change can't be heard behind it.
-            match chance.random_range(0..4) {
+            match rng.random_range(0..4) {
                 0 => Trouble::Discovery { mode: DiscoveryMode::Silent, span },
                 1 => Trouble::Discovery { mode: DiscoveryMode::Cuts, span },
                 _ => {
-                    let late = chance.random_range(MOST_LATE / 3..MOST_LATE);
-                    Trouble::Discovery { mode: DiscoveryMode::Late(late), span: LONG_LATE }
+                    let delay_ms = rng.random_range(MAX_DISCOVERY_DELAY_MS / 3..MAX_DISCOVERY_DELAY_MS);
+                    Trouble::Discovery { mode: DiscoveryMode::Late(delay_ms), span: DISCOVERY_DELAY_SPAN_MS }
                 }
             }
         }
         6 | 7 => {
             let modes = [EngineMode::Fails, EngineMode::Hangs, EngineMode::Cuts, EngineMode::Garbles];
-            Trouble::Engine { engine, mode: modes[chance.random_range(0..modes.len())], span: span * 2 }
+            Trouble::Engine { engine, mode: modes[rng.random_range(0..modes.len())], span: span * 2 }
         }
         8 => Trouble::Replace { engines: vec![engine] },
         9 => {
             let calls = [SystemCall::Read, SystemCall::Peek, SystemCall::Send, SystemCall::Write];
-            let call = calls[chance.random_range(0..calls.len())];
-            Trouble::Calls { router, call, every: chance.random_range(2..20), error: Errno::INTR, span }
+            let call = calls[rng.random_range(0..calls.len())];
+            Trouble::Calls { router, call, every: rng.random_range(2..20), error: Errno::INTR, span }
         }
         10 => {
             let errors = [Errno::CONNABORTED, Errno::NFILE, Errno::NOBUFS, Errno::INTR];
-            let error = errors[chance.random_range(0..errors.len())];
+            let error = errors[rng.random_range(0..errors.len())];
             Trouble::Calls { router, call: SystemCall::Accept, every: 1, error, span: span / 4 }
         }
-        11 => Trouble::Short { router, most: chance.random_range(1..40), span },
-        12 => Trouble::Clock { router, step: STEPS[chance.random_range(0..STEPS.len())], span: span * 4 },
+        11 => Trouble::Short { router, most: rng.random_range(1..40), span },
+        12 => Trouble::Clock {
+            router,
+            step: CLOCK_STEPS_MS[rng.random_range(0..CLOCK_STEPS_MS.len())],
+            span: span * 4,
+        },
         14 => {
             let mut routers: Vec<usize> = (0..routers).collect();
-            routers.shuffle(chance);
+            routers.shuffle(rng);
             routers.truncate(routers.len() * 3 / 4);
-            Trouble::Herd { routers, step: STEPS[chance.random_range(0..STEPS.len())], span: span / 4 }
+            Trouble::Herd {
+                routers,
+                step: CLOCK_STEPS_MS[rng.random_range(0..CLOCK_STEPS_MS.len())],
+                span: span / 4,
+            }
         }
-        15 | 16 => draw_stop(chance, router),
-        17 => Trouble::Crowd { router, count: chance.random_range(CROWD), span: span * 2 },
+        15 | 16 => draw_stop(rng, router),
+        17 => Trouble::Crowd { router, count: rng.random_range(CROWD_SIZES), span: span * 2 },
         18 => {
             // Unread for longer than callers wait, as nothing shows before.
-            if chance.random() {
-                Trouble::Log { router, reading: Reading::NotAtAll, span: LONG_UNREAD }
+            if rng.random() {
+                Trouble::Log { router, reading: LogReadMode::NotAtAll, span: UNREAD_SPAN_MS }
             } else {
-                Trouble::Log { router, reading: Reading::Slowly, span: span * 4 }
+                Trouble::Log { router, reading: LogReadMode::Slowly, span: span * 4 }
             }
         }
         19 => {
             // A FIFO for longer than callers wait, as nothing shows before.
-            if chance.random() {
-                Trouble::Config { router, what: Unreadable::Fifo, span: LONG_UNREAD }
+            if rng.random() {
+                Trouble::Config { router, what: UnreadableConfig::Fifo, span: UNREAD_SPAN_MS }
             } else {
-                Trouble::Config { router, what: Unreadable::Garbage, span }
+                Trouble::Config { router, what: UnreadableConfig::Garbage, span }
             }
         }
-        20 | 21 => Trouble::Drain { engine, resets: chance.random(), span: span * 3 },
-        22 => draw_failing_connects(chance, router, span),
-        13 if chance.random() => Trouble::Cut { router, engine, span },
+        20 | 21 => Trouble::Drain { engine, resets: rng.random(), span: span * 3 },
+        22 => draw_failing_connects(rng, router, span),
+        13 if rng.random() => Trouble::Cut { router, engine, span },
         13 => Trouble::Reset { router },
         _ => {
             let clients = [
-                RudeClient::HalfMessage,
-                RudeClient::Flood,
-                RudeClient::EarlyClose,
-                RudeClient::TinyDeadline,
-                RudeClient::Garbage,
+                MisbehavingClient::HalfMessage,
+                MisbehavingClient::Flood,
+                MisbehavingClient::EarlyClose,
+                MisbehavingClient::TinyDeadline,
+                MisbehavingClient::Garbage,
             ];
-            let client = clients[chance.random_range(0..clients.len())];
-            Trouble::Rude { router, client, count: chance.random_range(3..12) }
+            let client = clients[rng.random_range(0..clients.len())];
+            Trouble::Rude { router, client, count: rng.random_range(3..12) }
         }
     }
 }
 
 /// One signal to end, and up to two others before and behind it.
-fn draw_stop(chance: &mut Pcg32, router: usize) -> Trouble {
-    let all = [Order::Reload, Order::Terminate, Order::Interrupt];
+fn draw_stop(rng: &mut Pcg32, router: usize) -> Trouble {
+    let signals = [OperatorSignal::Reload, OperatorSignal::Terminate, OperatorSignal::Interrupt];
     let mut orders = Vec::new();
     let mut until_first_end = 0;
-    for _ in 0..chance.random_range(0..=2) {
-        let gap = chance.random_range(0..200);
+    for _ in 0..rng.random_range(0..=2) {
+        let gap = rng.random_range(0..200);
         until_first_end += gap;
-        orders.push((gap, Order::Reload));
+        orders.push((gap, OperatorSignal::Reload));
     }
-    let gap = chance.random_range(0..200);
-    orders.push((gap, if chance.random() { Order::Terminate } else { Order::Interrupt }));
-    for _ in 0..chance.random_range(0..=2) {
-        orders.push((chance.random_range(0..900), all[chance.random_range(0..all.len())]));
+    let gap = rng.random_range(0..200);
+    orders.push((gap, if rng.random() { OperatorSignal::Terminate } else { OperatorSignal::Interrupt }));
+    for _ in 0..rng.random_range(0..=2) {
+        orders.push((rng.random_range(0..900), signals[rng.random_range(0..signals.len())]));
     }
-    Trouble::Stop { router, orders, span: until_first_end + gap + EARLIEST_KILL }
+    Trouble::Stop { router, orders, span: until_first_end + gap + EARLIEST_KILL_MS }
 }
 
 /// Calls for connections that fail for a moment.
-fn draw_failing_connects(chance: &mut Pcg32, router: usize, span: u64) -> Trouble {
-    let of_connect = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::NETUNREACH, Errno::TIMEDOUT];
-    let of_socket = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
-    let (call, errors) = match chance.random_range(0..3) {
-        0 => (SystemCall::Connect, &of_connect[..]),
-        1 => (SystemCall::Socket, &of_socket[..]),
+fn draw_failing_connects(rng: &mut Pcg32, router: usize, span: u64) -> Trouble {
+    let connect_errors = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::NETUNREACH, Errno::TIMEDOUT];
+    let socket_errors = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+    let (call, errors) = match rng.random_range(0..3) {
+        0 => (SystemCall::Connect, &connect_errors[..]),
+        1 => (SystemCall::Socket, &socket_errors[..]),
         _ => (SystemCall::Poll, &[Errno::INTR, Errno::NOMEM][..]),
     };
-    let error = errors[chance.random_range(0..errors.len())];
+    let error = errors[rng.random_range(0..errors.len())];
     // A poll that is interrupted each time would be made again for good.
-    let every = chance.random_range(2..6);
+    let every = rng.random_range(2..6);
     Trouble::Calls { router, call, every, error, span: span / 2 }
 }
