--- a/crates/standins/src/calls.rs
+++ b/crates/standins/src/calls.rs
@@ -1,4 +1,5 @@
-//! What tests of keys and crossings share: calls told apart, and when a stand-in had one.
+//! Helpers of tests that inspect the calls to a stand-in: predicates on calls, and when a matching call
+//! arrived.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,12 +15,12 @@
     call.line.starts_with("POST")
 }
 
-/// Whether a call starts the query of the job with this number for its id.
+/// Whether a call carries the id of the job with this number.
 pub fn is_for_job(call: &Call, number: u32) -> bool {
     call.fields.contains(&format!("X-Trace: {number:016x}"))
 }
 
-/// What a router is told, changed.
+/// Returns the router configuration for these engines after `change` has edited it.
 pub fn modified_config(
     engines: &[SocketAddr], bulletin: SocketAddr, change: impl FnOnce(&mut Value),
 ) -> String {
@@ -33,7 +34,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// When a stand-in had its first call that `picked` takes.
+/// Records when a stand-in received its first matching call.
 #[derive(Clone, Default)]
 pub struct FirstCall(Arc<Mutex<Option<Instant>>>);
 
@@ -43,7 +44,7 @@
         *at = at.or(matches.then(Instant::now));
     }
 
-    /// When it was, or this moment if that is earlier.
+    /// Returns the time of the first matching call, or `moment` if that is earlier or no call came.
     pub fn at_or_before(&self, moment: Instant) -> Instant {
         self.0.lock().unwrap().map_or(moment, |at| at.min(moment))
     }
@@ -53,7 +54,7 @@
     }
 }
 
-/// When a stand-in had its latest call that `picked` takes.
+/// Records when a stand-in received its latest matching call.
 #[derive(Clone, Default)]
 pub struct LastCall(Arc<Mutex<Option<Instant>>>);
 
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -1,4 +1,4 @@
-//! A client over MessagePack-RPC.
+//! A client that speaks MessagePack-RPC.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -12,7 +12,7 @@
 use crate::TEST_TIMEOUT;
 use crate::routers::RouterThread;
 
-/// A client connection. What it is told is a result, or the word of an error.
+/// A client connection. An answer is a result or the name of an error.
 pub struct Client(pub TcpStream);
 
 impl Client {
@@ -22,7 +22,7 @@
         Self(stream)
     }
 
-    /// One that takes little at a time.
+    /// Connects with a small receive buffer, so that the router can send little at a time.
     pub fn with_small_receive_buffer(router: &RouterThread) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2_048).unwrap();
@@ -37,7 +37,7 @@
         Self::encode_request(number, class, &fields, statement)
     }
 
-    /// A request with such fields.
+    /// Encodes a request with the given fields.
     pub fn encode_request(number: u32, class: &str, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
         let mut bytes = vec![0x94, 0x00];
         rmp::encode::write_uint(&mut bytes, number.into()).unwrap();
@@ -52,7 +52,7 @@
         bytes
     }
 
-    /// Goes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let socket = Socket::from(self.0);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
@@ -75,16 +75,16 @@
         result.unwrap() == "true"
     }
 
-    /// Whether a ping is answered with true; an end of the connection is none.
+    /// Whether a ping is answered with true. Returns false if the connection ends.
     pub fn try_ping(&mut self) -> bool {
         let ping = [&[0x94, 0x00, 1, 0xa4], &b"ping"[..], &[0x91, 0x80]].concat();
         let mut answer = [0; 6];
-        // [1, 1, nil, [true, ...: the fourth byte is the error, the sixth the result.
+        // The answer begins with [1, 1, nil, [true, ...: the fourth byte is the error, the sixth the result.
         let whole = self.0.write_all(&ping).and_then(|()| self.0.read_exact(&mut answer));
         whole.is_ok() && answer == [0x94, 0x01, 0x01, 0xc0, 0x92, 0xc3]
     }
 
-    /// How many whole answers come, of so many, until the router ends the connection.
+    /// Counts complete answers until there are `max_answers` or the router closes the connection.
     pub fn count_answers(&mut self, max_answers: u32) -> usize {
         let mut bytes = Vec::new();
         let mut chunk = [0; 16 * 1024];
@@ -106,7 +106,7 @@
         whole
     }
 
-    /// Whether the router ended the connection; what it said before is passed over.
+    /// Whether the router closes the connection. Data that arrives before the close is discarded.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = [0; 1024];
         loop {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The number of the next answer and what it holds: a result, or the word of an error.
+    /// Reads the next answer: the message number, and the result or the name of an error.
     pub fn receive(&mut self) -> (u32, Result<String, String>) {
         let stream = &mut self.0;
         assert_eq!(decode::read_array_len(stream).unwrap(), 4);
@@ -160,7 +160,7 @@
     String::from_utf8(bytes).unwrap()
 }
 
-/// The next answer, which must be to this message: whether it is a result.
+/// Reads the next answer, which must be to this message number. Returns whether it is a result.
 pub fn receive_answer(stream: &mut impl Read, number: u32) -> io::Result<bool> {
     let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
     let (mut scan, mut scanned) = (codec::MessageScanner::default(), 0);
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Instances that gossip on the virtual network, each with a clock of its own.
+//! Instances that gossip on the virtual network, each with its own clock.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::net::{Network, NetworkConditions};
 
-/// A common start, some time in 2026.
+/// A common start time, in 2026.
 pub const START: Moment = Moment::from_micros(1_780_000_000_000_000);
 const YEAR: Span = Span::from_micros(31_536_000_000_000);
 
@@ -20,7 +20,7 @@
     Span::from_secs(count)
 }
 
-/// The pace of the operator file's defaults.
+/// Gossip settings with the defaults of the operator file.
 pub fn default_gossip_config() -> GossipConfig {
     GossipConfig {
         period: secs(0.2),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The same of what voters agree on.
+/// Accord settings with the defaults of the operator file, for tests where a set of voters agrees.
 pub fn default_accord_config() -> woadhook_accord::AccordConfig {
     woadhook_accord::AccordConfig {
         heartbeat_period: secs(0.2),
@@ -43,14 +43,14 @@
     }
 }
 
-/// Keys from small numbers.
+/// Derives a secret key from a small number.
 pub fn secret_key(number: u64) -> SecretKey {
     let mut bytes = [7; 32];
     bytes[..8].copy_from_slice(&number.to_be_bytes());
     SecretKey::from_bytes(&bytes)
 }
 
-/// The operator of the stand-in clusters.
+/// The operator's key of the stand-in clusters.
 pub fn operator_key() -> SecretKey {
     secret_key(u64::MAX)
 }
@@ -70,7 +70,7 @@
     Identity::new(secret, pass, &trust_store(), now).unwrap()
 }
 
-/// That the operator revokes a stand-in's key.
+/// The operator's revocation of the key of this number.
 pub fn revocation(number: u64) -> Revocation {
     Revocation::issue(&operator_key(), &secret_key(number).public(), cluster_id(), START + YEAR)
 }
@@ -79,13 +79,13 @@
     SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7946))
 }
 
-/// One instance. Gone ones have no core.
+/// One instance. A killed instance has no core.
 pub struct Node {
     pub core: Option<Gossip>,
     pub address: SocketAddr,
-    /// By how much its clock is ahead (or behind, if the mark is set).
+    /// How far its clock deviates from true time; the flag means that it is behind rather than ahead.
     pub clock: (Span, bool),
-    /// What it last heard of engines, by engine and type.
+    /// The latest suspicion reported by peers, from 0 to 1, by engine and job type.
     pub peer_reports: BTreeMap<(String, Option<String>), f64>,
 }
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// Something that an instance's core said.
+/// An event that an instance's core emitted.
 #[derive(Clone, Debug)]
 pub struct ClusterEvent {
     pub at: Moment,
@@ -116,14 +116,15 @@
     pub net: Network,
     pub nodes: Vec<Node>,
     pub events: Vec<ClusterEvent>,
-    /// Hearsay that no one took yet: instance, engine, type and doubt.
+    /// Peer reports that were not taken yet: instance, engine, job type and suspicion.
     pub pending_reports: VecDeque<(usize, String, Option<String>, f64)>,
     pub config: GossipConfig,
     seed: u64,
-    /// Orders and notices that instances heard: at which, the epoch; and from whom, what.
+    /// Voter sets that instances received, as instance and epoch; and notices, as instance, sender and
+    /// payload.
     pub voter_sets: Vec<(usize, u64)>,
     pub notices: Vec<(usize, MemberId, Vec<u8>)>,
-    /// What a few of them agree on and all follow, once there is an order.
+    /// What the voters agree on and every instance follows; empty until the operator issues a voter set.
     pub agreements: BTreeMap<usize, Agreement>,
     deadlines: BTreeSet<(Moment, usize)>,
     node_deadlines: Vec<Option<Moment>>,
@@ -131,7 +132,7 @@
 }
 
 impl Cluster {
-    /// `count` instances that know the first three as seeds, and nothing else.
+    /// Creates `count` instances that know only the first three instances, as seeds.
     pub fn new(seed: u64, count: usize, weather: NetworkConditions, config: GossipConfig) -> Self {
         let net = Network::new(seed, weather);
         let (nodes, events, pending_reports, node_by_address) =
@@ -159,7 +160,7 @@
         new
     }
 
-    /// One more instance, with the key of its number.
+    /// Adds an instance with the key of this number.
     pub fn add(&mut self, number: usize) -> usize {
         let node = self.nodes.len();
         let at = node_address(number);
@@ -175,7 +176,7 @@
         node
     }
 
-    /// Starts an instance anew, with nothing but its key and the seeds.
+    /// Starts an instance anew; it knows only its key and the seeds.
     pub fn start(&mut self, node: usize) {
         let own = identity(node as u64, &format!("n{node}"), self.now);
         let now = self.nodes[node].now(self.now);
@@ -186,13 +187,13 @@
         self.run_actions(node);
     }
 
-    /// An instance is gone at once, without a word.
+    /// Stops an instance at once, without notice to the others.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].core = None;
         self.schedule(node);
     }
 
-    /// Makes all know all, as after a long calm time.
+    /// Makes every instance know all others, as after a long time without faults.
     pub fn introduce_all(&mut self) {
         let records: Vec<_> =
             self.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.own_record())).collect();
@@ -208,7 +209,7 @@
         self.nodes[node].core.as_ref().expect("an instance that runs")
     }
 
-    /// Does something at an instance, and carries out what comes of it.
+    /// Calls `act` on an instance's core, then runs the actions that follow from it.
     pub fn with_core<T>(&mut self, node: usize, act: impl FnOnce(Moment, &mut Gossip) -> T) -> T {
         let now = self.nodes[node].now(self.now);
         let done = act(now, self.nodes[node].core.as_mut().expect("an instance that runs"));
@@ -216,7 +217,8 @@
         done
     }
 
-    /// The operator orders that some vote, and tells one instance; all hold agreements from now on.
+    /// Issues an operator-signed voter set and passes it to instance 0. Every instance takes part in the
+    /// agreement from now on.
     pub fn issue_voter_set(&mut self, epoch: u64, voters: &[usize], accord: woadhook_accord::AccordConfig) {
         for node in 0..self.nodes.len() {
             let (now, own) = (self.nodes[node].now(self.now), self.core(node).id());
@@ -230,7 +232,7 @@
         self.with_core(0, |_, core| core.accept_voter_set(voter_set));
     }
 
-    /// How many instances act on what is agreed now.
+    /// The number of instances at which an agreed value is in force now.
     pub fn acting_count(&self) -> usize {
         let is_acting = |(node, agreement): &(&usize, &Agreement)| {
             agreement.in_force(self.nodes[**node].now(self.now)).is_some()
@@ -238,7 +240,7 @@
         self.agreements.iter().filter(is_acting).count()
     }
 
-    /// The same engines at all instances.
+    /// Sets the same engine list at all instances.
     pub fn set_engines(&mut self, engines: &[&str]) {
         let list: Vec<_> = engines.iter().map(|name| ((*name).to_owned(), Moment::default())).collect();
         for node in 0..self.nodes.len() {
@@ -248,35 +250,35 @@
         }
     }
 
-    /// A datagram that no instance sent.
+    /// Sends a datagram that no instance sent.
     pub fn inject(&mut self, from: SocketAddr, to: usize, bytes: Vec<u8>) {
         let to = self.nodes[to].address;
         self.net.send(self.now, from, to, bytes);
     }
 
-    /// The doubt that an instance last heard of an engine.
+    /// The latest suspicion of an engine that peers reported to an instance, 0 without a report.
     pub fn suspicion(&self, node: usize, engine: &str) -> f64 {
         self.nodes[node].peer_reports.get(&(engine.to_owned(), None)).copied().unwrap_or(0.0)
     }
 
-    /// Instances that run.
+    /// The running instances.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Gossip)> {
         self.nodes.iter().enumerate().filter_map(|(number, node)| Some((number, node.core.as_ref()?)))
     }
 
-    /// Whether all that run know just each other.
+    /// Whether all running instances know exactly each other.
     pub fn views_agree(&self) -> bool {
         let count = self.running().count();
         let view = self.running().next().map(|(_, core)| core.view_digest());
         self.running().all(|(_, core)| core.live_members() == count && Some(core.view_digest()) == view)
     }
 
-    /// When the next thing happens.
+    /// When the next datagram arrives or the next deadline expires.
     pub fn next_step_at(&self) -> Option<Moment> {
         self.deadlines.first().map(|(at, _)| *at).into_iter().chain(self.net.next_arrival()).min()
     }
 
-    /// Lets one thing happen, by `until` at the latest; whether anything did.
+    /// Processes one datagram or deadline that is due by `until`. Returns whether there was one.
     pub fn step(&mut self, until: Moment) -> bool {
         let Some(at) = self.next_step_at().filter(|at| *at <= until) else {
             self.now = self.now.max(until);
@@ -299,7 +301,7 @@
         while self.step(until) {}
     }
 
-    /// Lets time pass until something holds; how long that took, or nothing where it did not within `most`.
+    /// Runs until a condition holds. Returns how long that took, or `None` if it did not hold within `limit`.
     pub fn run_until(&mut self, limit: Span, mut holds: impl FnMut(&Self) -> bool) -> Option<Span> {
         let start = self.now;
         let step = self.config.period.mul_f64(0.25);
@@ -359,7 +361,8 @@
         let agreement = self.agreements.get(&node).and_then(Agreement::next_deadline);
         let Some(deadline) = [core.next_deadline(), agreement].into_iter().flatten().min() else { return };
         let own_now = self.nodes[node].now(self.now);
-        // Never at once again: a core that is due now was just asked.
+        // At least a microsecond later: the core has just handled what is due now, and would otherwise be
+        // polled forever.
         let at = self.now + deadline.since(own_now).max(Span::from_micros(1));
         self.node_deadlines[node] = Some(at);
         self.deadlines.insert((at, node));
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A bulletin that tells what it is given.
+//! A discovery server that publishes the events that a test adds.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
@@ -8,12 +8,12 @@
 
 use crate::engines::{Call, Response, StandinServer, response};
 
-/// The events of a bulletin, which tests add to.
+/// The events of a discovery server. Clones share them, so a test can add events while the server runs.
 #[derive(Clone, Default)]
 pub struct DiscoveryEvents(Arc<(Mutex<Vec<Value>>, Condvar)>);
 
 impl DiscoveryEvents {
-    /// A bulletin that tells them.
+    /// Starts a server that publishes these events.
     pub fn serve(&self) -> StandinServer {
         let events = self.clone();
         StandinServer::start(move |call| events.answer(call))
@@ -25,13 +25,13 @@
         self.0.1.notify_all();
     }
 
-    /// All so far, in the form in which a router is told what is known.
+    /// Returns all events so far, in the form of the configuration's `known` section.
     pub fn all(&self) -> Value {
         let events = self.0.0.lock().unwrap();
         json!({"no": events.iter().filter_map(|event| event["no"].as_u64()).max(), "items": *events})
     }
 
-    /// All after a number, at once.
+    /// Answers with all events after the requested number, without waiting.
     pub fn answer_at_once(&self, call: &Call) -> Response {
         if !is_for_discovery(call) {
             return response(404, &[], "");
@@ -39,7 +39,8 @@
         Self::events_after(&self.0.0.lock().unwrap(), query_param(call, "after"))
     }
 
-    /// All after a number; waits for the first of them as long as the call says.
+    /// Answers with all events after the requested number. If there are none yet, waits for the first one as
+    /// long as the call's `patience` allows.
     pub fn answer(&self, call: &Call) -> Response {
         if !is_for_discovery(call) {
             return response(404, &[], "");
@@ -58,12 +59,13 @@
     }
 }
 
-/// Whether a call is meant for discovery: one that probes an engine may come where an earlier engine had the same port.
+/// Whether a call is meant for discovery. A probe of an engine can arrive here when an earlier engine had the
+/// same port.
 fn is_for_discovery(call: &Call) -> bool {
     call.line.starts_with("GET /bulletins")
 }
 
-/// A number that a call asks with.
+/// Returns a numeric query parameter of a call's path. Panics if it is missing.
 pub fn query_param(call: &Call, name: &str) -> u64 {
     let asked = call.line.split_once(&format!("{name}=")).map(|(_, rest)| rest.split(['&', ' ']).next());
     let number = asked.flatten().and_then(|number| number.parse().ok());
--- a/crates/standins/src/engines.rs
+++ b/crates/standins/src/engines.rs
@@ -1,4 +1,4 @@
-//! An engine over HTTP that answers as it is told.
+//! An HTTP server that stands in for an engine or another service and answers as a test prescribes.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,21 +12,21 @@
 
 use crate::TEST_TIMEOUT;
 
-/// Bytes that end a line of a head.
+/// Length of the line end in an HTTP head.
 const LINE_END_BYTES: usize = 2;
 
-/// A call that a stand-in took in.
+/// An HTTP call that a stand-in received.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub line: String,
     pub fields: Vec<String>,
     pub body: Vec<u8>,
-    /// Counts the connections from 0.
+    /// The connection's number, counted from 0.
     pub connection: usize,
 }
 
 impl Call {
-    /// How many bytes it took on the connection.
+    /// The size of the call on the wire, in bytes.
     pub fn size(&self) -> usize {
         let lines = self.fields.iter().chain([&self.line]);
         lines.map(|line| line.len() + LINE_END_BYTES).sum::<usize>() + LINE_END_BYTES + self.body.len()
@@ -35,21 +35,22 @@
 
 pub enum Response {
     Full(u16, Vec<String>, Vec<u8>),
-    /// Answers and closes the connection, without a word on it.
+    /// Answers and closes the connection, without announcing the close.
     FullThenClose(u16, Vec<String>, Vec<u8>),
-    /// An answer that comes in pieces of so many bytes, with such gaps, head and all.
+    /// Sends the answer, head included, in pieces of this size with this pause after each piece.
     InPieces(u16, Vec<String>, Vec<u8>, usize, Duration),
-    /// Says so once the time has passed; calls on other connections don't wait for it.
+    /// Sends the response after a delay. Calls on other connections are not held up.
     Delayed(Duration, Box<Response>),
-    /// Such bytes and no more, with which the connection ends.
+    /// Sends these bytes, then closes the connection.
     RawThenClose(&'static str),
-    /// Such bytes, behind which the connection stays open.
+    /// Sends these bytes and keeps the connection open.
     RawKeepOpen(String),
     CloseConnection,
     NoResponse,
-    /// Its process ends: first its port is closed, then every connection.
+    /// Simulates the end of the process: closes the port, then every connection.
     EndProcess,
-    /// Takes no new connection from now on, as one that drains, and says so over this one; all that are up go on.
+    /// Stops accepting connections, as a draining engine does, then sends the response. Open connections stay
+    /// open.
     ClosePort(Box<Response>),
 }
 
@@ -57,7 +58,7 @@
     Response::Full(status, fields.iter().map(|field| field.to_string()).collect(), body.into())
 }
 
-/// Serves a result of such pages to every query.
+/// Answers a query's call with the requested one of these pages, and a DELETE with 204.
 pub fn result_page(call: &Call, pages: &[&str]) -> Response {
     let page =
         call.line.split(' ').nth(1).and_then(|path| path.rsplit('/').next()?.parse().ok()).unwrap_or(0);
@@ -67,7 +68,7 @@
     response(200, &[&format!("X-Batches: {}", pages.len()), &format!("X-Batch: {page}")], pages[page])
 }
 
-/// A server over HTTP that answers as it is told and passes on each call.
+/// An HTTP server that answers as prescribed and passes each call on to the test.
 pub struct StandinServer {
     pub address: SocketAddr,
     calls: Receiver<Call>,
@@ -79,7 +80,7 @@
         Self::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), answer)
     }
 
-    /// One that takes in connections at such a listener.
+    /// Starts a server on an existing listener.
     pub fn on_listener(
         listener: TcpListener, answer: impl FnMut(&Call) -> Response + Send + 'static,
     ) -> Self {
@@ -117,22 +118,22 @@
         Self { address, calls, open: kept }
     }
 
-    /// Takes no new connection from now on, as one that drains; all that are up go on.
+    /// Stops accepting connections, as a draining engine does. Open connections stay open.
     pub fn refuse_connections(&self) {
         self.open.refuse();
     }
 
-    /// Its process ends: first its port is closed, then every connection.
+    /// Simulates the end of the process: closes the port, then every connection.
     pub fn end_process(&self) {
         self.open.close();
     }
 
-    /// The next call whose first line starts so; what comes before it is passed over.
+    /// Waits for the next call whose first line starts with `start`; discards the calls before it.
     pub fn wait_for_call(&self, start: &str) -> Call {
         self.calls_until(start).pop().expect("until such a call")
     }
 
-    /// All calls up to the first that starts so.
+    /// Waits for the first call whose first line starts with `start` and returns all calls up to it.
     pub fn calls_until(&self, start: &str) -> Vec<Call> {
         let (mut calls, end) = (Vec::new(), Instant::now() + TEST_TIMEOUT);
         while calls.last().is_none_or(|call: &Call| !call.line.starts_with(start)) {
@@ -142,26 +143,26 @@
         calls
     }
 
-    /// The calls so far that start so.
+    /// Takes all calls received so far and returns those whose first line starts with `start`.
     pub fn received_calls(&self, start: &str) -> Vec<Call> {
         self.calls.try_iter().filter(|call| call.line.starts_with(start)).collect()
     }
 }
 
-/// The sockets of a stand-in.
+/// The sockets of a server.
 struct Sockets {
     listener: TcpListener,
-    /// By connection; emptied by their ends.
+    /// Open connections by number; an entry is removed when its connection ends.
     streams: Mutex<HashMap<usize, TcpStream>>,
 }
 
 impl Sockets {
     fn refuse(&self) {
-        // It fails where the port is closed already.
+        // Fails if the port is closed already.
         let _ = SockRef::from(&self.listener).shutdown(Shutdown::Both);
     }
 
-    /// The port refuses before any connection ends.
+    /// The port refuses connections before any open connection ends.
     fn close(&self) {
         self.refuse();
         for stream in self.streams.lock().unwrap().values() {
@@ -170,8 +171,9 @@
     }
 }
 
-/// An address at which connections don't come up until it is opened, as where nothing is heard of a machine. One that was
-/// asked for before comes up with the system's next try, a second after its first.
+/// A listener whose queue is full, so that connection attempts get no answer until it is unblocked, as with
+/// an unreachable machine. An attempt made before is completed by the system's next retry, one second after
+/// its first try.
 pub struct BlockedListener {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -185,7 +187,7 @@
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
-        // The queue is full once one of these no longer comes up.
+        // The queue is full as soon as one of these connections fails.
         let more = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
         let fillers = std::iter::from_fn(more).collect();
         Self { listener, address, fillers }
@@ -216,7 +218,7 @@
     Some(Call { line: lines.remove(0), fields: lines, body, connection })
 }
 
-/// Whether the connection goes on.
+/// Sends a response. Returns whether the connection stays open.
 fn send_response(stream: &mut TcpStream, says: Response) -> bool {
     if let Response::Delayed(after, then) = says {
         thread::sleep(after);
@@ -246,7 +248,7 @@
     stream.write_all(&encode_response(status, &fields, &body)).is_ok() && keep_open
 }
 
-/// The bytes of an answer.
+/// Encodes a complete HTTP response.
 pub(crate) fn encode_response(status: u16, fields: &[String], body: &[u8]) -> Vec<u8> {
     let fields: String = fields.iter().map(|field| format!("{field}\r\n")).collect();
     let head = format!("HTTP/1.1 {status} x\r\n{fields}Content-Length: {}\r\n\r\n", body.len());
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,5 @@
-//! A schedule of faults: data from a seed that can be printed and played again.
+//! Schedules of consecutive faults, drawn from a seed, which can be printed and replayed. The names of
+//! variants and fields are part of the printed schedules.
 
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -6,31 +7,32 @@
 
 use crate::relays::{EndpointSet, Way};
 
-/// What happens to the fleet; routers and engines by number.
+/// A fault of a fleet. Routers and engines are given by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Routers are killed, and started again from nothing.
+    /// Kills routers and starts them again without state.
     Kill(Vec<usize>),
-    /// Routers are told to end one after another, each started again once it has ended.
+    /// Terminates routers one after another; each is started again once it has ended.
     Roll(Vec<usize>),
-    /// A router stands still for so many milliseconds.
+    /// Suspends a router for this many milliseconds.
     Pause(usize, u64),
-    /// The bulletin moves: a new configuration and SIGHUP for every router.
+    /// Moves discovery to another address: every router gets a new configuration and SIGHUP.
     Move,
-    /// Engines are told to drain, then gone, and new ones that started late take their places.
+    /// Announces engines as draining, then as deleted; new engines with a recent start time replace them.
     Replace(Vec<usize>),
-    /// An engine answers every call with an error from now on.
+    /// Makes an engine answer every call with an error from now on.
     Bad(usize),
-    /// What goes between such sides goes so, each way as it is told, for so many milliseconds; then all goes as before.
+    /// Applies these conditions to the traffic between endpoints, each in its direction, for this many
+    /// milliseconds; then the network is healed.
     Lay(Vec<(EndpointSet, EndpointSet, Way)>, u64),
-    /// Connections that are up from one side to another are reset.
+    /// Resets the open connections from one set of endpoints to another.
     Reset(EndpointSet, EndpointSet),
-    /// Routers stand still for so many milliseconds, all of them together.
+    /// Suspends several routers at once for this many milliseconds.
     Halt(Vec<usize>, u64),
 }
 
 impl Fault {
-    /// Nothing goes between two sides, either way.
+    /// Cuts the traffic between two sets of endpoints in both directions.
     pub fn cut(one: &EndpointSet, other: &EndpointSet, millis: u64) -> Self {
         let outbound = (one.clone(), other.clone(), Way::CUT);
         Fault::Lay(vec![outbound, (other.clone(), one.clone(), Way::CUT)], millis)
@@ -45,8 +47,8 @@
 }
 
 impl Schedule {
-    /// One fault of each kind, in an order from the seed; seven in ten routers are killed, four in ten engines replaced,
-    /// the routers told to end a tenth at a time.
+    /// Draws one fault of each kind, in random order: seven in ten routers are killed, four in ten engines
+    /// replaced, and all routers are restarted one after another.
     pub fn draw(seed: u64, routers: usize, engines: usize) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut sample = |of: usize, share: f64| {
@@ -69,9 +71,9 @@
         Self::with_pauses(seed, faults, rng)
     }
 
-    /// So many faults of the ways between zones, in an order from the seed: cuts both ways and one way, a slow and unsteady
-    /// way, resets under requests, beside a kill, a pause, or a bulletin that moves. A cut is shorter than `longest`
-    /// milliseconds.
+    /// Draws `count` faults of the network between zones: cuts in both directions or one, slow and lossy
+    /// traffic, resets of open connections; among them kills, pauses and moves of discovery. A cut is shorter
+    /// than `max_cut_ms`.
     pub fn draw_network_faults(
         seed: u64, count: usize, zones: &[String], routers: usize, max_cut_ms: u64,
     ) -> Self {
@@ -104,7 +106,7 @@
     }
 }
 
-/// What is left of a failing schedule when one fault after another is taken out, as long as it goes on failing.
+/// Removes one fault after another from a failing schedule, as long as the rest still fails.
 pub fn shrink(schedule: &Schedule, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
     let mut smallest = schedule.clone();
     let mut at = smallest.faults.len();
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of the built program: routers in processes of their own over stand-in engines and bulletins, callers at each
-//! router, a schedule of faults, and the rules counted over all processes together.
+//! A fleet of router processes of the built program with stand-in engines and discovery. Callers send jobs to
+//! each router while a schedule of faults runs; the rules are then checked over all processes together.
 
 mod effects;
 mod gossip;
@@ -34,58 +34,60 @@
 use crate::routers::router_config;
 use crate::troubles::{DiscoveryMode, EngineMode};
 
-/// The work that each job is told to be, in milliseconds of one thread.
+/// The stated work of each job, in milliseconds of one thread.
 const JOB_COST_MS: u64 = 400;
-/// How long a caller waits for an answer, as the router is told.
+/// How long a caller waits for an answer, as stated in its request.
 const CLIENT_WAIT_MS: u32 = 5_000;
-/// An answer later than this has not come: the wait, and what a slow machine may add.
+/// An answer that takes longer counts as missing: the caller's wait, and what a slow machine may add.
 const ANSWER_LIMIT: Duration = Duration::from_secs(15);
-/// Between an answer and the caller's next job, with up to so many routers; with more, as much longer.
+/// Pause between an answer and the caller's next job in fleets of up to `ROUTERS_AT_BASE_PAUSE` routers; it
+/// grows in proportion in larger fleets.
 const CALLER_PAUSE: Duration = Duration::from_millis(30);
 const ROUTERS_AT_BASE_PAUSE: usize = 10;
-/// Callers at each router, each with one job at a time.
+/// Callers at each router; each has one job at a time.
 const CALLERS_PER_ROUTER: usize = 3;
 
-/// What the settings of such a fleet promise, in milliseconds.
+/// Drain grace in the fleet's settings, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 4_000;
 pub const FALL_MS: u64 = 2_000;
-/// How long a key rests behind a load that may still run.
+/// How long a key waits after a load that may still run.
 const TURN_GAP_MS: u64 = 300;
-/// How long a voter's word counts.
+/// How long a voter's lease is valid, in milliseconds.
 pub const LEASE_MS: u64 = 3_000;
 const OVERLOAD_FACTOR: f64 = 2.0;
 const START_CAPACITY: f64 = 0.3;
 const COLD_PERIOD: Duration = Duration::from_secs(60);
 const ENGINE_CORES: f64 = 8.0;
 
-/// How a fleet is laid out. Routers and engines are dealt to the zones in turn; callers and bulletins stand in their
-/// router's zone.
+/// The layout of a fleet. Routers and engines are assigned to the zones in turn; callers and discovery are in
+/// their router's zone.
 #[derive(Clone, Debug)]
 pub struct Layout {
     pub routers: usize,
     pub engines: usize,
     /// Each zone with its region.
     pub zones: Vec<(String, String)>,
-    /// Whether the routers talk with one another.
+    /// Whether the routers gossip.
     pub gossip: bool,
-    /// How many of them vote on what all follow: the first ones.
+    /// How many routers vote on what all follow; the first ones do.
     pub voters: usize,
-    /// Whether loads keep their order: those of one router have one key.
+    /// Whether loads keep their order; all loads of one router have one key.
     pub ordered: bool,
-    /// Whether system calls of the routers can be made to fail, and their wall clocks to step, where the machine has a compiler.
+    /// Whether the routers' system calls can be made to fail and their wall clocks to step, if the machine
+    /// has a compiler.
     pub failing_system_calls: bool,
     pub seed: u64,
 }
 
 impl Layout {
-    /// One zone, no talk.
+    /// A fleet in one zone, without gossip.
     pub fn single_zone(routers: usize, engines: usize) -> Self {
         let zones = vec![("a".into(), "r".into())];
         let (gossip, voters, ordered, failing_calls, seed) = (false, 0, false, false, 0);
         Self { routers, engines, zones, gossip, voters, ordered, failing_system_calls: failing_calls, seed }
     }
 
-    /// So many zones, `z0` and on, two to a region, `r0` and on.
+    /// A gossiping fleet in zones `z0`, `z1` and so on, two to each of the regions `r0`, `r1` and so on.
     pub fn with_zones(routers: usize, engines: usize, zones: usize, seed: u64) -> Self {
         let zones = (0..zones).map(|at| (format!("z{at}"), format!("r{}", at / 2))).collect();
         Self { zones, gossip: true, seed, ..Self::single_zone(routers, engines) }
@@ -105,13 +107,13 @@
     pub relays: Relays,
     routers: Vec<Mutex<RouterProcess>>,
     engines: Mutex<Vec<FleetEngine>>,
-    /// Of the last event of discovery.
+    /// The number of discovery's last event.
     last_event: Mutex<u64>,
     discoveries: Vec<Mutex<RouterDiscovery>>,
-    /// By router, where discovery was before it moved, as long as the router can't read where it is.
+    /// Discovery servers from before a move, by router, for as long as the router can't read the new address.
     old_discoveries: Mutex<Vec<(usize, RouterDiscovery)>>,
     discovery: Arc<Mutex<DiscoveryMode>>,
-    /// By router, where their calls can fail.
+    /// Fault injection by router, for routers whose system calls can fail.
     preloads: BTreeMap<usize, Preload>,
     observations: Arc<Mutex<Observations>>,
     stopped: Arc<AtomicBool>,
@@ -119,7 +121,7 @@
 }
 
 impl Fleet {
-    /// A fleet of `program`, with callers at each router; all files go to `folder`.
+    /// Starts a fleet of `program` with callers at each router; all files go to `folder`.
     pub fn start(program: &str, folder: &Path, layout: Layout) -> Self {
         let (observations, relays): (Arc<Mutex<Observations>>, Relays) =
             (Arc::default(), Relays::new(layout.seed));
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Lets a schedule happen, one fault after another.
+    /// Runs the faults of a schedule one after another.
     pub fn run_schedule(&self, schedule: &Schedule) {
         for (fault, pause) in &schedule.faults {
             match fault {
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Routers stand still for so many milliseconds.
+    /// Suspends routers for this many milliseconds.
     fn pause(&self, routers: &[usize], millis: u64) {
         self.observations.lock().unwrap().paused.extend(routers);
         routers.iter().for_each(|router| self.signal(*router, Signal::STOP));
@@ -245,7 +247,7 @@
         routers.iter().for_each(|router| self.signal(*router, Signal::CONT));
     }
 
-    /// Routers killed all at once, and started again.
+    /// Kills routers all at once and starts them again.
     pub fn kill_and_restart(&self, routers: &[usize]) {
         routers.iter().for_each(|router| self.kill_router(*router));
         routers.iter().for_each(|router| self.start_router(*router));
@@ -263,7 +265,7 @@
         self.routers[router].lock().unwrap().wait_until_ready();
     }
 
-    /// Starts a router from nothing, told the bulletin so far.
+    /// Starts a router without state; its configuration holds discovery's events so far.
     pub fn start_router(&self, router: usize) {
         let known = self.discoveries[router].lock().unwrap().events.all();
         let mut process = self.routers[router].lock().unwrap();
@@ -273,7 +275,8 @@
         self.close_old_discoveries(router);
     }
 
-    /// Every router's bulletin moves; the old ones tell nothing further, but to a router that can't read yet where the new one is.
+    /// Moves every router's discovery. The old servers publish nothing more, except to a router that can't
+    /// read the new address yet.
     fn move_discovery(&self) {
         for (number, (router, old)) in self.routers.iter().zip(&self.discoveries).enumerate() {
             let mut old = old.lock().unwrap();
@@ -294,7 +297,7 @@
         }
     }
 
-    /// A router was told where discovery is: what it left tells nothing further.
+    /// Closes the old discovery servers of a router that has read the new address.
     fn close_old_discoveries(&self, router: usize) {
         let mut left = self.old_discoveries.lock().unwrap();
         for (_, feed) in left.extract_if(.., |(of, _)| *of == router) {
@@ -302,7 +305,7 @@
         }
     }
 
-    /// New engines come, cold.
+    /// Adds cold engines.
     fn add_cold_engines(&self, count: usize) {
         let mut engines = self.engines.lock().unwrap();
         let first = engines.len();
@@ -318,7 +321,7 @@
         self.announce(&new, "SERVING", now);
     }
 
-    /// Engines drain and go, and new ones come in their places, cold.
+    /// Drains and deletes engines, and adds cold ones in their place.
     pub fn replace_engines(&self, engines: &[usize]) {
         self.add_cold_engines(engines.len());
         for phase in ["DRAINING", "DELETED"] {
@@ -328,7 +331,7 @@
         }
     }
 
-    /// Tells every router of engines in such a phase.
+    /// Announces engines with this phase to every router.
     fn announce(&self, engines: &[usize], phase: &str, up_since: u64) {
         let mut number = self.last_event.lock().unwrap();
         *number += 1;
@@ -340,13 +343,13 @@
         }
     }
 
-    /// The operator orders another epoch, and tells one router.
+    /// Writes a voter set with a new epoch and makes one router read it.
     pub fn issue_voter_set(&self, folder: &Path, epoch: u64, router: usize) {
         write_voter_set(folder, epoch, self.layout.voters);
         self.signal(router, Signal::HUP);
     }
 
-    /// Kills a router and leaves it so, until [`start_router`](Self::start_router).
+    /// Kills a router, which stays down until [`start_router`](Self::start_router).
     pub fn kill_router(&self, router: usize) {
         let mut process = self.routers[router].lock().unwrap();
         process.kill();
@@ -369,7 +372,7 @@
         self.engines.lock().unwrap().len()
     }
 
-    /// Lines of a router's log with such an event, as fields.
+    /// The lines of a router's log that report this event, parsed.
     pub fn log_events(&self, router: usize, event: &str) -> Vec<Value> {
         let said = self.router_log(router);
         let lines = said.lines().filter(|line| line.contains(event));
@@ -379,7 +382,7 @@
             .collect()
     }
 
-    /// Waits until something holds that is to hold in the end.
+    /// Waits until a condition holds; panics with the logs if it does not in time.
     pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
         let by = Instant::now() + TEST_TIMEOUT + TEST_TIMEOUT;
         while !holds(self) {
@@ -388,7 +391,7 @@
         }
     }
 
-    /// All that the routers logged, by time; lines that tell no time keep their place.
+    /// The lines of all routers' logs, sorted by time. Lines without a time stay behind the line before them.
     pub fn merged_logs(&self) -> Vec<String> {
         let time = |line: &str| {
             let told: Option<Value> = serde_json::from_str(line).ok();
@@ -406,15 +409,15 @@
         lines.into_iter().map(|(_, line)| line).collect()
     }
 
-    /// Lets time pass, until so long after the last notice to drain that its grace is over by as much again.
+    /// Waits until twice the drain grace has passed since the last drain was announced.
     pub fn wait_for_drains(&self) {
         let last = self.observations.lock().unwrap().drained.values().max().copied();
         let until = last.map_or(Instant::now(), |last| last + Duration::from_millis(2 * DRAIN_GRACE_MS));
         thread::sleep(until.saturating_duration_since(Instant::now()));
     }
 
-    /// Waits until every router has done a job asked for from now on, then ends the callers and counts; the first
-    /// broken rule, if any, in words.
+    /// Waits until every router has done a job that was requested from now on, ends the callers and checks
+    /// the rules. Returns a description of the first violated rule, if any.
     pub fn verdict(mut self) -> Result<Tally, String> {
         self.wait_for_service()?;
         self.stopped.store(true, Ordering::Relaxed);
@@ -465,7 +468,7 @@
         Ok(())
     }
 
-    /// The lines of all logs on a job.
+    /// The lines about a job in all logs.
     fn log_lines_of_job(&self, id: &str) -> Vec<String> {
         self.routers.iter().flat_map(|router| router.lock().unwrap().log_lines_of_job(id)).collect()
     }
--- a/crates/standins/src/fleet/effects.rs
+++ b/crates/standins/src/fleet/effects.rs
@@ -1,4 +1,4 @@
-//! What each trouble does to a fleet as it begins, and as it ends.
+//! What each trouble does to a fleet when it begins and when it ends.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -13,17 +13,17 @@
 use crate::relays::{EndpointSet, Way};
 use crate::troubles::{DiscoveryMode, EngineMode, LOAD_START_TIME, RESET_DELAY, Trouble};
 
-/// Tells the requests of clients that misbehave apart.
+/// Distinguishes the requests of misbehaving clients.
 static NEXT_MISBEHAVING_CLIENT: AtomicU64 = AtomicU64::new(1);
-/// Tells clients apart that leave their loads.
+/// Distinguishes clients that leave their loads.
 static NEXT_LEAVER: AtomicU64 = AtomicU64::new(parties::FIRST_LEAVER);
-/// A crowd has left by so long behind its time.
+/// A crowd has left this long after its span.
 const CROWD_CLOSE_SLACK: Duration = Duration::from_secs(1);
-/// Between looks whether a process has ended.
+/// Interval at which the end of a process is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Fleet {
-    /// Whether it could begin.
+    /// Begins a trouble. Returns whether it could begin.
     pub(super) fn begin_trouble(&self, trouble: &Trouble, processes: &[usize]) -> bool {
         match trouble {
             Trouble::Stand { router, .. } => {
@@ -155,7 +155,7 @@
         self.close_old_discoveries(router);
     }
 
-    /// Waits for the end of a router that was told to end; others may signal it meanwhile.
+    /// Waits until a terminated router has ended; other troubles may signal it meanwhile.
     fn wait_for_end(&self, router: usize) {
         let by = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Clients of all routers begin loads that run for a while, and leave soon.
+    /// Clients of all routers start loads that run for a while, and leave soon after.
     fn start_abandoned_loads(&self) {
         for router in 0..self.routers.len() {
             let (at, observations) = (self.address(router), self.observations.clone());
@@ -180,8 +180,8 @@
         }
     }
 
-    /// The engine is told to drain and works on. Clients of all routers have begun loads that run for a while, some of them there, and leave
-    /// behind that.
+    /// Announces that the engine drains; it works on. Before that, clients of all routers have started loads
+    /// that run for a while, some of them at this engine; they leave after the announcement.
     fn start_drain(&self, engine: usize) {
         self.start_abandoned_loads();
         self.add_cold_engines(1);
@@ -190,7 +190,7 @@
         self.observations.lock().unwrap().drained.insert(engine, Instant::now());
     }
 
-    /// The engine takes no new connection; what is up there may be reset.
+    /// Makes the engine refuse new connections and, if asked, resets its open ones.
     fn refuse_connections(&self, engine: usize, resets: bool) {
         self.relays.refuse_connections(&format!("s-{engine}"));
         if resets {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// A drained engine is told gone, and its process ends.
+    /// Announces a drained engine as deleted and ends its process.
     fn remove_engine(&self, engine: usize) {
         self.announce(&[engine], "DELETED", 0);
         self.engines.lock().unwrap()[engine].engine.end_process();
@@ -211,7 +211,7 @@
     }
 }
 
-/// Nothing goes between a router and an engine, either way.
+/// Conditions that cut the network between a router and an engine in both directions.
 fn cut_both_ways(router: usize, engine: usize) -> [(EndpointSet, EndpointSet, Way); 2] {
     let (one, other) =
         (EndpointSet::party(&format!("n{router}")), EndpointSet::party(&format!("s-{engine}")));
--- a/crates/standins/src/fleet/gossip.rs
+++ b/crates/standins/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! Routers that talk with one another: their keys, passes and operator files, and the operator's orders.
+//! Setup of routers that gossip: their keys, passes and operator files, and the operator's voter sets.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,14 +15,15 @@
 use crate::processes::free_datagram_address;
 use crate::relays::Relays;
 
-/// The operator's order that the first routers vote.
+/// Writes the operator's voter set, in which the first routers vote.
 pub(super) fn write_voter_set(folder: &Path, epoch: u64, voters: usize) {
     let keys: Vec<[u8; 32]> = (0..voters).map(|router| secret_key(router as u64 + 1).public()).collect();
     let order = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("an order");
     fs::write(folder.join("order"), order.to_text()).expect("a file");
 }
 
-/// Keys, passes and operator files for all routers, and the addresses of their datagrams; what each one's command line says.
+/// Writes keys, passes and operator files for all routers and relays their datagrams. Returns each router's
+/// command line arguments.
 pub(super) fn gossip_arguments(layout: &Layout, folder: &Path, relays: &Relays) -> Vec<Vec<String>> {
     fs::create_dir_all(folder).expect("a folder");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/judge.rs
@@ -1,4 +1,4 @@
-//! The rules, counted over all processes together by what engines and callers saw.
+//! The rules, checked over all processes together from what engines and callers observed.
 
 use std::collections::HashMap;
 use std::io;
@@ -10,56 +10,57 @@
     START_CAPACITY,
 };
 
-/// A router told to end takes what comes for longer than this.
+/// A terminated router still accepts requests for at least this long.
 const ACCEPTING_AFTER_END: Duration = Duration::from_millis(200);
-/// Requests on open connections come for so long behind the order to end, by the page.
+/// By the protocol document, requests on open connections may come for this long after a terminating signal.
 const OPEN_CONNECTIONS_AFTER_END: Duration = Duration::from_millis(600);
-/// A request that crosses a close within this is sent again.
+/// A request that crosses a close within this time is sent again.
 pub(super) const CLOSE_CROSSING_LIMIT: Duration = Duration::from_millis(50);
-/// No attempt begins later than this after its client went; and what a slow machine may add.
+/// No attempt begins later than this after its client left; and what a slow machine may add.
 const MAX_SEND_AFTER_LEAVING: Duration = Duration::from_millis(100);
 const SCHEDULING_SLACK: Duration = Duration::from_millis(900);
-/// So long after its time an answer only earns nothing; later, it is lost.
+/// An answer that is late by up to this much only earns nothing; after that it counts as lost.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// What a deadline may be passed on too long.
+/// How much longer than the client's remaining time a forwarded deadline may be.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-/// What engines and callers saw, over all processes together; as long as a story.
+/// What engines and callers observed over all processes during one test.
 #[derive(Default)]
 pub(super) struct Observations {
     pub arrivals: Vec<QueryArrival>,
     pub answers: Vec<AnsweredJob>,
-    /// What became of the queries at engines.
+    /// The queries at engines and how they ended.
     pub queries: Queries,
-    /// When engines ended that had drained.
+    /// When the processes of drained engines ended.
     pub engine_ends: HashMap<usize, Instant>,
-    /// Until when routers have a crowd of clients that say nothing, and close connections that rest for new ones.
+    /// Until when routers have a crowd of idle clients, and close idle connections in favour of new ones.
     pub crowded_until: HashMap<usize, Instant>,
-    /// When clients left that wait for no answer.
+    /// When clients left that wait for no answer, by job id.
     pub clients_left: HashMap<String, Instant>,
-    /// When each engine was told to drain.
+    /// When each engine was announced as draining.
     pub drained: HashMap<usize, Instant>,
     pub cold: HashMap<usize, Instant>,
-    /// When each router was killed outright, or told to end.
+    /// When each router was killed, and when it was terminated.
     pub killed: Vec<(usize, Instant)>,
     pub told_to_end: Vec<(usize, Instant)>,
-    /// When each was killed that had been told to end; it frees no request of its answer.
+    /// When routers were killed that had been terminated before; such a kill excuses no missing answer.
     pub killed_while_ending: Vec<(usize, Instant)>,
-    /// Whether bytes between routers and engines were held up, so that engines tell nothing of when they were sent.
+    /// Whether relays delayed bytes between routers and engines, so that arrival times at engines don't show
+    /// when they were sent.
     pub had_ways: bool,
     /// Whether jobs of a key keep their order.
     pub ordered: bool,
-    /// Routers that stood still at times, and how many there are.
+    /// Routers that were suspended at times, and the number of routers.
     pub paused: Vec<usize>,
     pub routers: usize,
 }
 
-/// A query that came to an engine.
+/// A query that arrived at an engine.
 pub(super) struct QueryArrival {
     pub engine: usize,
     pub id: String,
     pub at: Instant,
-    /// The time left that the engine was told.
+    /// The remaining time that the engine was given.
     pub time_left: Duration,
 }
 
@@ -67,20 +68,20 @@
     pub router: usize,
     pub id: String,
     pub at: Instant,
-    /// How long its caller waits, and how long it waited.
+    /// How long the caller waits at most, and how long it waited.
     pub wait: Duration,
     pub elapsed: Duration,
-    /// How long its caller took to write it, from `at` on.
+    /// How long the caller took to write the request, from `at` on.
     pub write_time: Duration,
-    /// When its connection came up.
+    /// When the connection was established.
     pub connected_at: Instant,
-    /// Done, another answer, or none as the connection ended.
+    /// True for done, false for another answer, an error if the connection ended.
     pub result: io::Result<bool>,
-    /// Whether nothing stands between it and the router, so that what it sent came there.
+    /// Whether the client is connected to the router without a relay, so that what it sent arrived there.
     pub is_direct: bool,
 }
 
-/// What happened, for a story to see that it was a story at all.
+/// Counts of a run, with which a test checks that enough happened.
 #[derive(Debug)]
 pub struct Tally {
     pub asked: usize,
@@ -88,9 +89,9 @@
     pub to_cold: usize,
 }
 
-/// A broken rule.
+/// A violated rule.
 pub(super) struct Violation {
-    /// What is wrong.
+    /// A description of the violation.
     pub message: String,
     /// The ids of the jobs that show it.
     pub jobs: Vec<String>,
@@ -102,7 +103,8 @@
     }
 }
 
-/// Rule 1: an answer for each job, unless its router was killed, or was told to end some time before the job came.
+/// Rule 1: each job is answered, unless its router was killed, or was terminated some time before the job
+/// came.
 fn every_job_answered(observations: &Observations) -> Result<(), Violation> {
     for AnsweredJob { router, id, at, connected_at: since, elapsed, result: got, .. } in
         observations.answers.iter().filter(|job| !job.is_direct)
@@ -119,8 +121,9 @@
     Ok(())
 }
 
-/// Rule 1, for clients that go on over open connections of a router that was told to end: by the page, requests on these come for
-/// 0.6 s more, and one that crosses the close within 50 ms is sent again. What was forwarded, or read, is owed its answer.
+/// Rule 1 for clients that go on over open connections of a terminated router. By the protocol document, such
+/// requests may come for another 0.6 s, and one that crosses the close within 50 ms is sent again. A request
+/// that was forwarded or read must be answered.
 fn answered_on_open_connections(observations: &Observations) -> Result<(), Violation> {
     for job in observations.answers.iter().filter(|job| job.is_direct) {
         let (Err(error), id) = (&job.result, &job.id) else { continue };
@@ -129,7 +132,8 @@
         let forwarded = observations.arrivals.iter().any(|arrival| arrival.id == *id);
         let in_time = told.is_none_or(|told| job.at <= told + OPEN_CONNECTIONS_AFTER_END);
         let crossed = job.elapsed <= CLOSE_CROSSING_LIMIT + SCHEDULING_SLACK;
-        // As a crowd fills the descriptors, connections that rest are closed for new ones at any time.
+        // When a crowd uses up the descriptors, idle connections are closed in favour of new ones at any
+        // time.
         let is_crowded = observations.crowded_until.get(&job.router).is_some_and(|until| job.at < *until);
         if is_crowded && !forwarded && job.elapsed <= CLOSE_CROSSING_LIMIT {
             continue;
@@ -146,7 +150,7 @@
     Ok(())
 }
 
-/// Rule 2: a run-once job came to one engine at most, as no engine here says that it never ran.
+/// Rule 2: a run-once job arrives at one engine at most, as no engine here declines a job without running it.
 fn run_once_jobs_sent_once(observations: &Observations) -> Result<(), Violation> {
     let mut came: HashMap<&str, usize> = HashMap::new();
     for QueryArrival { id, .. } in observations.arrivals.iter().filter(|arrival| is_load(&arrival.id)) {
@@ -159,7 +163,7 @@
     Ok(())
 }
 
-/// Rule 3.
+/// Rule 3: no job arrives at an engine after its drain grace.
 fn nothing_sent_after_drain_grace(observations: &Observations) -> Result<(), Violation> {
     let late = observations.arrivals.iter().find(|arrival| {
         let told = observations.drained.get(&arrival.engine);
@@ -172,8 +176,9 @@
     })
 }
 
-/// Rule 4: no more work to a cold engine in any window than its budget, from all routers together. Its capacity rises evenly;
-/// a root of the budget is allowed for jobs that the machine brings late.
+/// Rule 4: a cold engine gets no more work in any window than its budget, from all routers together. Its
+/// capacity rises linearly; the square root of the budget is allowed on top for jobs that arrive late on a
+/// slow machine.
 fn cold_engines_within_budget(observations: &Observations) -> Result<(), Violation> {
     for (engine, start) in &observations.cold {
         let at: Vec<Instant> = observations
@@ -201,9 +206,10 @@
     Ok(())
 }
 
-/// Rule 5: of a router's loads, which all have one key, none comes to an engine while an earlier one is out: from when it came
-/// until its end was written, it was given up, it had not been asked for in 2 s, behind which its engine ends it, or its engine's process
-/// ended. A router that was killed knows of none before.
+/// Rule 5: all loads of a router have one key, and none arrives at an engine while an earlier one is
+/// outstanding. A load is outstanding from its arrival until its end was written, it was deleted, it was not
+/// polled for 2 s, after which its engine ends it, or its engine's process ended. A router that was killed or
+/// terminated in between knows nothing of earlier loads.
 fn ordered_loads_one_at_a_time(observations: &Observations) -> Result<(), Violation> {
     let mut last: HashMap<usize, &QueryArrival> = HashMap::new();
     for arrival in observations.arrivals.iter().filter(|arrival| observations.ordered && is_load(&arrival.id))
@@ -240,7 +246,7 @@
     Ok(())
 }
 
-/// No attempt for a client that has gone.
+/// No attempt is sent for a client that has left.
 fn nothing_sent_for_departed_clients(observations: &Observations) -> Result<(), Violation> {
     let late = |arrival: &&QueryArrival| {
         let left = observations.clients_left.get(&arrival.id);
@@ -256,7 +262,7 @@
     }
 }
 
-/// The deadline that an engine is told is no longer than what the client has left.
+/// The deadline that an engine is given is no longer than the client's remaining time.
 fn deadlines_not_extended(observations: &Observations) -> Result<(), Violation> {
     let job: HashMap<&str, &AnsweredJob> =
         observations.answers.iter().map(|job| (job.id.as_str(), job)).collect();
@@ -274,7 +280,7 @@
     Ok(())
 }
 
-/// The first broken rule, with the job that shows it, if one does.
+/// Checks all rules and returns the first violation.
 pub(super) fn check_all_rules(observations: &Observations) -> Result<(), Violation> {
     every_job_answered(observations)?;
     answered_on_open_connections(observations)?;
@@ -287,7 +293,7 @@
     deadlines_not_extended(observations)
 }
 
-/// Rule 1: in time, but for routers that stood and ways that were cut.
+/// Rule 1: answers come in time, except at suspended routers and when relays delayed traffic.
 fn answers_in_time(observations: &Observations) -> Result<(), Violation> {
     let counts = |job: &&AnsweredJob| !observations.had_ways && !observations.paused.contains(&job.router);
     let late =
@@ -300,12 +306,12 @@
     }
 }
 
-/// The number of a job's caller.
+/// The number of a job's caller, as encoded in the job's id.
 pub(super) fn caller_of(id: &str) -> usize {
     usize::from_str_radix(&id[1..CALLER_DIGITS + 1], 16).unwrap_or(0)
 }
 
-/// The digits of a caller's number in its jobs' ids, behind the first.
+/// Digits of the caller's number in a job's id, after the first character.
 pub(super) const CALLER_DIGITS: usize = 5;
 
 pub(super) fn is_load(id: &str) -> bool {
--- a/crates/standins/src/fleet/overlap.rs
+++ b/crates/standins/src/fleet/overlap.rs
@@ -1,4 +1,4 @@
-//! Plays the troubles of a plan, each on a thread of its own, so that none holds up another.
+//! Runs the troubles of a plan, each on its own thread, so that none delays another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
@@ -9,19 +9,20 @@
 use super::Fleet;
 use crate::troubles::{Plan, Timed, Trouble};
 
-/// A step of a plan that comes later than this is told.
+/// Steps of a plan that are later than this are reported.
 const MAX_STEP_DELAY: Duration = Duration::from_millis(50);
 
-/// What came of a plan, as far as the rig goes.
+/// How the run of a plan went, apart from the rules.
 #[derive(Default)]
 pub struct PlanOutcome {
-    /// The kinds of troubles that could not happen.
+    /// The kinds of troubles that could not begin.
     pub skipped: BTreeSet<String>,
-    /// Steps that came late, in words.
+    /// Descriptions of steps that came late.
     pub late_steps: Vec<String>,
 }
 
-/// Starts routers on the thread that plays the plan: a process ends with the thread that started it.
+/// Starts routers on the thread that runs the plan, as a process is killed when the thread that started it
+/// ends.
 #[derive(Clone)]
 pub(super) struct Starter(Sender<Start>);
 
@@ -31,7 +32,7 @@
 }
 
 impl Starter {
-    /// Starts a router anew, and waits for that.
+    /// Starts a router anew and waits until it was started.
     pub fn start_router(&self, router: usize) {
         let (done, started) = mpsc::channel();
         let _ = self.0.send(Start { router, done });
@@ -40,7 +41,7 @@
 }
 
 impl Fleet {
-    /// Plays a plan.
+    /// Runs all troubles of a plan.
     pub fn run_plan(&self, plan: &Plan) -> PlanOutcome {
         let (starter, starts) = mpsc::channel();
         let run = PlanRun {
@@ -65,21 +66,22 @@
     }
 }
 
-/// What troubles have for themselves.
+/// Resources that troubles hold exclusively.
 #[derive(Default)]
 struct Claims {
-    /// Routers whose processes one stops, kills or ends; given back at its end.
+    /// Routers whose processes a trouble suspends, kills or terminates; released when it ends.
     routers: BTreeSet<usize>,
-    /// Engines that are told to drain, once in a story.
+    /// Engines that were drained; each is drained once in a run.
     engines: BTreeSet<usize>,
 }
 
-/// A plan that is played.
+/// A plan that is being run.
 pub(super) struct PlanRun<'a> {
     pub fleet: &'a Fleet,
     start: Instant,
     claims: Mutex<Claims>,
-    /// Troubles by what they set; the last one is in force, and the one before comes back behind it.
+    /// Troubles by the state that they set. The last one is in force; when it ends, the one before it applies
+    /// again.
     settings: Mutex<BTreeMap<String, Vec<(usize, Trouble)>>>,
     outcome: Mutex<PlanOutcome>,
 }
@@ -106,7 +108,8 @@
         routers.iter().for_each(|router| _ = claims.routers.remove(router));
     }
 
-    /// The routers that a trouble gets of those whose processes it wants; nothing where it can't be.
+    /// Claims the routers whose processes a trouble needs, as far as they are free. Returns `None` if none of
+    /// them is free, or if an engine was drained already.
     fn claim(&self, trouble: &Trouble) -> Option<Vec<usize>> {
         let mut claims = self.claims.lock().unwrap();
         let (routers, engines) = (trouble.processes(), trouble.drains());
@@ -120,7 +123,7 @@
         Some(free)
     }
 
-    /// Whether it could begin.
+    /// Begins a trouble. Returns whether it could begin.
     fn begin(&self, number: usize, trouble: &Trouble, routers: &[usize]) -> bool {
         let Some(setting) = trouble.setting() else { return self.fleet.begin_trouble(trouble, routers) };
         let mut in_force = self.settings.lock().unwrap();
--- a/crates/standins/src/fleet/parties.rs
+++ b/crates/standins/src/fleet/parties.rs
@@ -1,4 +1,4 @@
-//! The parties beside the routers: engines, a discovery for each router, callers, and clients that misbehave.
+//! The parties around the routers: engines, discovery for each router, callers, and misbehaving clients.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -21,33 +21,33 @@
 use crate::relays::Relays;
 use crate::troubles::{DiscoveryMode, EngineMode, MisbehavingClient};
 
-/// Callers that leave their loads are numbered from here on, with up to so many others at each router.
+/// First number of callers that leave their loads; each router has fewer other callers than this.
 pub(super) const FIRST_LEAVER: u64 = 16;
-/// How long a load runs that its client leaves: longer than any may wait.
+/// How long a load runs whose client leaves: longer than any client may wait.
 const ABANDONED_RUN_TIME: Duration = Duration::from_millis(CLIENT_WAIT_MS as u64 + 3_000);
-/// How long one query in eight runs, so that something is always out when a fault comes.
+/// How long one query in eight runs, so that some query is always outstanding when a fault comes.
 const SLOW_RUN_TIME: Duration = Duration::from_millis(900);
-/// `ping` under the number 0.
+/// A `ping` with message number 0.
 const PING: [u8; 10] = [0x94, 0x00, 0x00, 0xa4, b'p', b'i', b'n', b'g', 0x91, 0x80];
-/// How long a rude client rests, or waits for what it does not get.
+/// How long a misbehaving client idles, or waits for an answer that does not come.
 const MISBEHAVING_PAUSE: Duration = Duration::from_millis(700);
-/// How long clients wait that stay until the end, in milliseconds, and rest between requests.
+/// How long clients of a terminated router wait for an answer, in milliseconds, and pause between requests.
 const STAYING_WAIT_MS: u32 = 3_000;
 const STAYING_PAUSE: Duration = Duration::from_millis(15);
-/// When a client leaves its load, and a number of a job that runs for a while.
+/// When a client leaves its load, and a job number whose query runs for a while.
 const LEAVE_DELAY: Duration = Duration::from_millis(300);
 const SLOW_JOB_NUMBER: u64 = 0xa;
-/// A deadline that hardly leaves time for anything, in milliseconds.
+/// A deadline that leaves hardly any time, in milliseconds.
 const TINY_DEADLINE_MS: u32 = 15;
 
 pub(super) struct FleetEngine {
     pub engine: StandinServer,
     pub mode: Arc<Mutex<EngineMode>>,
-    /// Where each router reaches it.
+    /// The relay address at which each router reaches it.
     pub addresses: Mutex<HashMap<usize, SocketAddr>>,
 }
 
-/// An engine that keeps book of what comes.
+/// Starts an engine that records what arrives.
 pub(super) fn start_engine(number: usize, observations: Arc<Mutex<Observations>>) -> FleetEngine {
     let mode = Arc::new(Mutex::new(EngineMode::Well));
     let current_mode = mode.clone();
@@ -58,7 +58,7 @@
     FleetEngine { engine, mode, addresses: Mutex::default() }
 }
 
-/// What such an engine says to a call.
+/// The engine's response to a call.
 fn answer(engine: usize, call: &Call, mode: EngineMode, observations: &mut Observations) -> Response {
     let now = Instant::now();
     let is_post = call.line.starts_with("POST");
@@ -76,7 +76,7 @@
         }
     }
     let is_delete = call.line.starts_with("DELETE");
-    // An engine that answers with an error did not give it up.
+    // An engine that answers a DELETE with an error has not ended the query.
     if is_delete && mode != EngineMode::Fails {
         observations.queries.end(engine, &id, now, QueryEnd::Deleted);
     }
@@ -105,7 +105,8 @@
     call.line.starts_with("GET /load") || call.line.starts_with("GET /-/ok")
 }
 
-/// How long a query runs: one in eight a while, those that their clients leave for longer than these may wait, others no time.
+/// How long a query runs: one in eight for a while, those that their clients leave for longer than clients
+/// may wait, all others no time.
 fn run_time(id: &str, routers: usize) -> Duration {
     let is_left = is_load(id) && caller_of(id) as u64 / routers.max(1) as u64 >= FIRST_LEAVER;
     match id.ends_with(['3', 'a']) {
@@ -128,7 +129,7 @@
     QueryArrival { engine, id: job_id_of(call), at: Instant::now(), time_left: Duration::from_millis(millis) }
 }
 
-/// An engine as one router is told of it: at the end of the passage between them.
+/// An engine's roster entry for one router, with the relay's address.
 pub(super) fn engine_entry(
     layout: &Layout, relays: &Relays, router: usize, number: usize, engine: &FleetEngine, phase: &str,
     up_since: u64,
@@ -142,14 +143,15 @@
     member
 }
 
-/// One router's discovery, which moves with a configuration. It names the engines as that router reaches them.
+/// One router's discovery, which can move with a new configuration. It lists the engines at their relay
+/// addresses for that router.
 pub(super) struct RouterDiscovery {
     pub events: DiscoveryEvents,
     pub open: Arc<AtomicBool>,
     pub server: StandinServer,
 }
 
-/// A discovery that tells these events, in the mode that all have in common.
+/// Starts a discovery server with these events; all servers of a fleet share the mode.
 pub(super) fn start_discovery(events: DiscoveryEvents, mode: Arc<Mutex<DiscoveryMode>>) -> RouterDiscovery {
     let open = Arc::new(AtomicBool::new(true));
     let (told, all) = (open.clone(), events.clone());
@@ -160,7 +162,7 @@
         }
         match current_mode {
             DiscoveryMode::Silent => return Response::NoResponse,
-            // As one that is crowded, it does not keep the call besides.
+            // A delayed answer does not also wait for new events.
             DiscoveryMode::Late(millis) => {
                 return Response::Delayed(Duration::from_millis(millis), Box::new(all.answer_at_once(call)));
             }
@@ -172,7 +174,7 @@
     RouterDiscovery { events, open, server }
 }
 
-/// Who asks, and of whom.
+/// A caller: its router, number, the address to connect to, and the pause between jobs.
 pub(super) struct Caller {
     pub router: usize,
     pub number: usize,
@@ -180,8 +182,9 @@
     pub pause: Duration,
 }
 
-/// A caller: one job after another, over a new connection where the old one ended; one in ten runs once. While its router has a crowd, a
-/// job whose connection is found closed within the protocol's 50 ms is sent again, once, under its id.
+/// Runs a caller: it sends one job after another, over a new connection if the old one ended; one job in ten
+/// is run-once. While its router has a crowd, a job whose connection turns out closed within the protocol's
+/// 50 ms is sent again once, under the same id.
 pub(super) fn run_caller(caller: Caller, observations: &Mutex<Observations>, stopped: &AtomicBool) {
     let (mut connection, mut number, mut count) = (None, 0, 0_u64);
     let mut connected_at = Instant::now();
@@ -225,7 +228,8 @@
     }
 }
 
-/// A connection that is up: a relay takes one in before the router does, so a ping has to be answered.
+/// Connects and pings. A relay accepts a connection before the router does, so only the ping's answer shows
+/// that the router is connected.
 fn connect(at: SocketAddr) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
@@ -243,12 +247,12 @@
 fn request(number: u32, class: &str, id: &str, wait: u32, text: &str) -> Vec<u8> {
     let (wait, cost) = (wait.to_string(), JOB_COST_MS.to_string());
     let mut fields = vec![("id", id), ("wait", wait.as_str()), ("cost", cost.as_str()), ("ram", "16")];
-    // All loads of a router have one key; it counts where the settings say that loads keep their order.
+    // All loads of a router have one key; it takes effect if the settings keep the order of loads.
     fields.extend((class == "load").then_some(("key", "one")));
     Client::encode_request(number, class, &fields, text)
 }
 
-/// A client that misbehaves once, over a connection of its own. `number` makes its requests' ids.
+/// Runs a client that misbehaves once, over its own connection. `number` distinguishes its requests' ids.
 pub(super) fn misbehave(
     client: MisbehavingClient, at: SocketAddr, number: u64, observations: &Mutex<Observations>,
 ) {
@@ -287,8 +291,8 @@
     }
 }
 
-/// A client that asks one request after another over a connection of its own to the router itself, until the router ends that. One that is
-/// not served by `by` goes again.
+/// Runs a client that sends one request after another directly to the router over its own connection, until
+/// the router closes it. A client that is not connected by `by` gives up.
 pub(super) fn run_staying_client(
     router: usize, at: SocketAddr, number: u64, observations: &Mutex<Observations>, by: Instant,
 ) {
@@ -322,7 +326,7 @@
     }
 }
 
-/// A client that asks for a load that runs for a while, and leaves in the middle of it.
+/// Runs a client that requests a load which runs for a while, and leaves in the middle of it.
 pub(super) fn abandon_load(at: SocketAddr, caller: usize, observations: &Mutex<Observations>) {
     let Some(mut stream) = connect(at) else { return };
     let id = format!("f{caller:0width$x}{SLOW_JOB_NUMBER:010x}", width = CALLER_DIGITS);
@@ -334,7 +338,7 @@
     }
 }
 
-/// Connections that say nothing, held for so long.
+/// Opens idle connections and holds them for this time.
 pub(super) fn hold_idle_connections(at: SocketAddr, count: usize, span: Duration) {
     let held: Vec<TcpStream> = (0..count).filter_map(|_| TcpStream::connect(at).ok()).collect();
     thread::sleep(span);
--- a/crates/standins/src/fleet/queries.rs
+++ b/crates/standins/src/fleet/queries.rs
@@ -1,35 +1,36 @@
-//! Queries at the stand-in engines, which live as the protocol's page says: until they end, are deleted, or were not asked for in 2 s.
+//! Queries at the stand-in engines. By the protocol document, a query lives until it ends, is deleted, or was
+//! not polled for 2 s.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// An engine ends a query that was not asked for in this time.
+/// An engine ends a query that was not polled for this time.
 const UNPOLLED_QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One query at one engine.
 pub(super) struct Query {
-    /// When it has its result.
+    /// When its result is ready.
     done_at: Instant,
-    /// When it was asked for last.
+    /// When it was polled last.
     last_polled: Instant,
     ended: Option<(Instant, QueryEnd)>,
 }
 
-/// How a query ended.
+/// How a query ended. The names are part of a printed verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryEnd {
-    /// Its engine wrote an answer that tells the end.
+    /// The engine wrote an answer that reports the end.
     Written,
     Deleted,
     Unasked,
 }
 
-/// What becomes of a call for a query.
+/// The state of a query that a call finds.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueryStatus {
     Running,
     Done,
-    /// The engine knows no such query, or none any more.
+    /// The engine does not know the query, or not any more.
     Unknown,
 }
 
@@ -38,7 +39,7 @@
         Self { done_at: now + runs, last_polled: now, ended: None }
     }
 
-    /// A call for it came whole.
+    /// Handles a complete call for the query.
     fn poll(&mut self, now: Instant) -> QueryStatus {
         self.expire(now);
         match self.ended {
@@ -62,34 +63,34 @@
         }
     }
 
-    /// When it ran no more, if nothing comes behind what was seen.
+    /// When the query ended, or will end if it is not polled again.
     pub fn end_time(&self) -> (Instant, QueryEnd) {
         self.ended.unwrap_or((self.last_polled + UNPOLLED_QUERY_TIMEOUT, QueryEnd::Unasked))
     }
 
-    /// When it was asked for last.
+    /// When it was polled last.
     pub fn last_polled(&self) -> Instant {
         self.last_polled
     }
 }
 
-/// All queries of a story, by engine and id; as many as there are jobs.
+/// All queries of a run by engine and job id; there are as many as jobs.
 #[derive(Default)]
 pub(super) struct Queries(HashMap<(usize, String), Query>);
 
 impl Queries {
-    /// A query came to an engine, which takes so long for it. One that it has already goes on.
+    /// Starts a query that takes this long. A query that the engine already has goes on.
     pub fn start(&mut self, engine: usize, id: &str, now: Instant, runs: Duration) {
         self.0.entry((engine, id.to_owned())).or_insert_with(|| Query::new(now, runs));
     }
 
-    /// A call for a query came whole to its engine.
+    /// Handles a complete call for a query.
     pub fn poll(&mut self, engine: usize, id: &str, now: Instant) -> QueryStatus {
         let query = self.0.get_mut(&(engine, id.to_owned()));
         query.map_or(QueryStatus::Unknown, |query| query.poll(now))
     }
 
-    /// A query ended.
+    /// Ends a query.
     pub fn end(&mut self, engine: usize, id: &str, now: Instant, end: QueryEnd) {
         if let Some(query) = self.0.get_mut(&(engine, id.to_owned())) {
             query.end(now, end);
--- a/crates/standins/src/fleet/stops.rs
+++ b/crates/standins/src/fleet/stops.rs
@@ -1,4 +1,4 @@
-//! Signals in a row to one router, while clients go on over open connections until it is killed.
+//! Sends several signals to one router while clients go on over open connections until it is killed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -10,16 +10,16 @@
 use super::{Fleet, parties};
 use crate::troubles::{EARLIEST_KILL_MS, OperatorSignal, TimedSignal, Trouble};
 
-/// Clients that use open connections until a router that was told to end has ended.
+/// Number of clients that use open connections of a terminated router until it has ended.
 const STAYING_CLIENTS: usize = 12;
-/// Between the time at which they connect and the first gap before a signal.
+/// Time that clients have to connect before the first signal's gap begins.
 const CONNECT_TIME: Duration = Duration::from_millis(100);
-/// Tells them apart.
+/// Distinguishes the clients' requests.
 static NEXT_STAYING_CLIENT: AtomicU64 = AtomicU64::new(1);
 
 impl PlanRun<'_> {
-    /// Clients connect, then the signals come, then the page's earliest kill, whatever the router does meanwhile. Most have ended by
-    /// themselves by then.
+    /// Lets clients connect, sends the signals, then kills the router at the earliest time that the protocol
+    /// document allows, whatever the router does meanwhile. Most routers have ended by themselves by then.
     pub(super) fn run_stop(&self, router: usize, orders: &[TimedSignal], begun: Instant, starter: &Starter) {
         let trouble = Trouble::Stop { router, orders: orders.to_vec(), span: 0 };
         let Some(process) = self.fleet.process_id(router) else { return };
@@ -59,7 +59,7 @@
         self.routers[router].lock().unwrap().id()
     }
 
-    /// Clients that stay; one that is not served by then goes again.
+    /// Starts clients that keep their connections; one that is not connected by `by` gives up.
     fn start_staying_clients(&self, router: usize, by: Instant) {
         let at = self.routers[router].lock().unwrap().address;
         for _ in 0..STAYING_CLIENTS {
--- a/crates/standins/src/folders.rs
+++ b/crates/standins/src/folders.rs
@@ -1,10 +1,12 @@
-//! Folders of stories. Each run has folders of its own, so that runs at once in one checkout don't meet in one.
+//! Folders for the files of a test run. Each process has its own, so that concurrent runs in one checkout
+//! don't interfere.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process;
 
-/// The name of a folder of this run for a story, below `base`; nothing is there yet. What runs left that have ended is removed.
+/// Returns the path of a folder below `base` that belongs to this process and this test; it does not exist
+/// yet. Folders of processes that have ended are removed.
 pub fn run_folder(base: &str, story: &str) -> PathBuf {
     let prefix = format!("{story}-");
     for entry in fs::read_dir(base).into_iter().flatten().flatten() {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what a router meets, which all packages' tests share: engines, a bulletin, clients and routers on
-//! loopback; datagrams, instances and engines on a virtual network and clock; and checkers of the rules.
+//! Stand-ins that the tests of all packages share: engines, discovery, clients and routers on loopback;
+//! datagrams, gossiping instances and engines on a virtual network and clock; and checks of the routing
+//! rules.
 
 pub mod calls;
 pub mod clients;
@@ -27,5 +28,5 @@
 pub use engines::{BlockedListener, Call, Response, StandinServer, response, result_page};
 pub use routers::{RouterThread, router_config};
 
-/// What is awaited comes long before this, or never.
+/// Upper bound for every wait of a test: an expected event comes long before it, or never.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/standins/src/lightweight.rs
+++ b/crates/standins/src/lightweight.rs
@@ -1,4 +1,5 @@
-//! Lightweight parties, of which one process holds thousands: they answer at once, do no work and count what they get.
+//! Lightweight parties, of which one process holds thousands: they answer at once, do no work and count their
+//! traffic.
 
 pub mod discovery;
 pub mod engines;
--- a/crates/standins/src/lightweight/discovery.rs
+++ b/crates/standins/src/lightweight/discovery.rs
@@ -1,4 +1,4 @@
-//! Lightweight discovery: one router's bulletin, which counts its bytes and notes when the router had taken in each event.
+//! Discovery for one router that counts its traffic and records when the router has applied each event.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,11 +11,11 @@
 struct TrafficRecord {
     received_bytes: u64,
     sent_bytes: u64,
-    /// The number behind which the router asked, each time that it had grown, and when.
+    /// Each event number after which the router asked, and when it first did so.
     positions: Vec<(u64, Instant)>,
 }
 
-/// A bulletin that tells one router the events that others may be told too.
+/// A discovery server for one router. Several servers can publish the same events.
 pub struct LightweightDiscovery {
     pub address: SocketAddr,
     record: Arc<Mutex<TrafficRecord>>,
@@ -35,13 +35,14 @@
         Self { address: server.address, record, _server: server }
     }
 
-    /// Bytes received from the router, and sent to it.
+    /// Bytes received from the router, and bytes sent to it.
     pub fn traffic(&self) -> (u64, u64) {
         let record = self.record.lock().unwrap();
         (record.received_bytes, record.sent_bytes)
     }
 
-    /// When the router asked for what comes behind this event, which it does once the event is in force there.
+    /// When the router first asked for what comes after this event, which it does once it has applied the
+    /// event.
     pub fn applied_at(&self, event: u64) -> Option<Instant> {
         let record = self.record.lock().unwrap();
         record.positions.iter().find(|(after, _)| *after >= event).map(|(_, at)| *at)
--- a/crates/standins/src/lightweight/engines.rs
+++ b/crates/standins/src/lightweight/engines.rs
@@ -1,5 +1,5 @@
-//! Lightweight engines: one listener for all their addresses. Each answers every query with one row and every probe with a load
-//! report, and counts both.
+//! Lightweight engines that share one listener. Each answers every query with one row and every probe with a
+//! load report, and counts both.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -13,25 +13,25 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use socket2::SockRef;
 
-/// The most engines that the addresses stand for.
+/// Number of available engine addresses.
 pub const MAX_ENGINES: usize = 1 << 16;
-/// The addresses begin here; the last two bytes are the engine's number.
+/// First two bytes of the addresses; the last two are the engine's number.
 const ADDRESS_PREFIX: [u8; 2] = [127, 100];
-/// Connections that wait at the one listener.
+/// Length of the shared listener's queue.
 const LISTEN_BACKLOG: i32 = 4096;
 const THREADS: usize = 2;
 const READ_BYTES: usize = 4 * 1024;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const ROW: &str = "a\tb\tc\n";
-/// Load reports tell the processor's share in thousandths.
+/// Load reports give the processor's utilisation in thousandths.
 const LOAD_UNITS: f64 = 1_000.0;
 
-/// What engines got.
+/// Requests that engines received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     pub queries: u64,
     pub probes: u64,
-    /// Bytes of probes, and of the answers to them.
+    /// Bytes of the probes, and of the answers to them.
     pub probe_bytes: u64,
     pub report_bytes: u64,
 }
@@ -58,11 +58,11 @@
 
 struct Shared {
     engines: Vec<Counts>,
-    /// The share of its processor that each reports, in thousandths.
+    /// The utilisation that every engine reports, in thousandths.
     reported_load: AtomicU32,
 }
 
-/// Engines that differ in nothing but their addresses.
+/// Engines that differ only in their addresses.
 pub struct LightweightEngines {
     port: u16,
     shared: Arc<Shared>,
@@ -70,7 +70,7 @@
 }
 
 impl LightweightEngines {
-    /// So many engines, idle but for what they get.
+    /// Starts `count` engines, which report no load until it is set.
     pub fn start(count: usize) -> io::Result<Self> {
         assert!(count <= MAX_ENGINES, "{count} engines, {MAX_ENGINES} have addresses");
         let listener = Async::<TcpListener>::bind((Ipv4Addr::UNSPECIFIED, 0))?;
@@ -98,17 +98,17 @@
         SocketAddr::from(([ADDRESS_PREFIX[0], ADDRESS_PREFIX[1], high, low], self.port))
     }
 
-    /// The share of its processor, from 0 to 1, that each engine reports, as others load it.
+    /// Sets the processor utilisation that every engine reports, from 0 to 1, as if other routers loaded it.
     pub fn set_reported_load(&self, share: f64) {
         self.shared.reported_load.store((share * LOAD_UNITS) as u32, Ordering::Relaxed);
     }
 
-    /// What one engine got.
+    /// The requests that one engine received.
     pub fn counts(&self, engine: usize) -> RequestCounts {
         self.shared.engines[engine].tally()
     }
 
-    /// What all got together.
+    /// The requests that all engines received.
     pub fn total_counts(&self) -> RequestCounts {
         self.shared.engines.iter().map(Counts::tally).fold(RequestCounts::default(), |sum, each| {
             RequestCounts {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Serves one connection until its peer ends it.
+/// Serves one connection until its peer closes it.
 async fn serve(mut stream: Async<TcpStream>, shared: Arc<Shared>) {
     let _ = stream.get_ref().set_nodelay(true);
     let Some(counts) = engine_of(&stream).and_then(|engine| shared.engines.get(engine)) else { return };
@@ -147,7 +147,7 @@
     }
 }
 
-/// The engine that a connection came to.
+/// The engine that a connection is addressed to.
 fn engine_of(stream: &Async<TcpStream>) -> Option<usize> {
     match stream.get_ref().local_addr().ok()? {
         SocketAddr::V4(at) => {
@@ -158,7 +158,7 @@
     }
 }
 
-/// The length of the call that the bytes begin with, once it is there whole.
+/// The length of the first call in the buffer, or `None` while it is incomplete.
 fn complete_call_length(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END)? + HEAD_END.len();
     let text = str::from_utf8(&bytes[..head]).ok()?;
--- a/crates/standins/src/log_reader.rs
+++ b/crates/standins/src/log_reader.rs
@@ -1,4 +1,4 @@
-//! Who reads a process's log: a thread that copies a pipe into a file, and stands or reads slowly as it is told.
+//! Reads a process's log: a thread copies a pipe into a file, and can be slowed down or paused.
 
 use std::fs::File;
 use std::io::{self, PipeReader, Read, Write};
@@ -7,21 +7,21 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How the log is read.
+/// How the log is read. The names are part of the printed fault schedules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogReadMode {
     AtOnce,
-    /// A kilobyte now and then.
+    /// A kilobyte every tenth of a second.
     Slowly,
     NotAtAll,
 }
 
 const SLOW_READ_BYTES: usize = 1_024;
 const SLOW_READ_PAUSE: Duration = Duration::from_millis(100);
-/// Between looks whether it is to read again.
+/// Interval at which a paused reader checks whether to go on.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The reader of one process's log, over its restarts.
+/// The log reader of one process, across its restarts.
 #[derive(Default)]
 pub struct LogReader {
     reading: Arc<AtomicU8>,
@@ -29,7 +29,7 @@
 }
 
 impl LogReader {
-    /// Reads the log of a process that was started anew.
+    /// Starts to read the log of a process that was just started.
     pub fn start(&mut self, from: PipeReader, to: File) {
         let reading = self.reading.clone();
         self.thread = Some(thread::spawn(move || copy_log(from, to, &reading)));
@@ -39,7 +39,7 @@
         self.reading.store(reading as u8, Ordering::SeqCst);
     }
 
-    /// Reads what is left of a process that has ended.
+    /// Reads the rest of the log of a process that has ended.
     pub fn finish(&mut self) {
         if let Some(thread) = self.thread.take() {
             self.set(LogReadMode::AtOnce);
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -1,4 +1,5 @@
-//! A virtual network: datagrams with delay, loss, reordering, duplication and partitions, on virtual time from a seed.
+//! A virtual network with delay, loss, reordering, duplication and partitions of datagrams, driven by a seed
+//! and virtual time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,10 +8,10 @@
 use rand_pcg::Pcg32;
 use woadhook::{Moment, Span};
 
-/// What befalls each datagram. Delays are drawn evenly from a range, which reorders as far as it is wide.
+/// Conditions for all datagrams. Delays are drawn uniformly from a range; a wide range reorders datagrams.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// Shares of datagrams, from 0 to 1.
+    /// Probabilities of loss and of duplication per datagram, from 0 to 1.
     pub loss: f64,
     pub duplication: f64,
     pub delay: (Span, Span),
@@ -29,9 +30,9 @@
 pub struct Network {
     rng: Pcg32,
     pub conditions: NetworkConditions,
-    /// Addresses that can't be reached from others of another number.
+    /// The partition of each address, 0 by default; datagrams between partitions are lost.
     partitions: BTreeMap<SocketAddr, u8>,
-    /// What a place's own datagrams take longer.
+    /// Additional delay of the datagrams that an address sends.
     extra_delays: BTreeMap<SocketAddr, Span>,
     in_flight: BTreeMap<(Moment, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
     sent_copies: u64,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// From now on such places reach only one another; all others are on side 0.
+    /// Moves an address to a partition; it then reaches only addresses of the same partition. All others are
+    /// in partition 0.
     pub fn set_partition(&mut self, place: SocketAddr, side: u8) {
         self.partitions.insert(place, side);
     }
@@ -83,7 +85,7 @@
         self.in_flight.keys().next().map(|(at, _)| *at)
     }
 
-    /// A datagram that has arrived by now: from, to and bytes.
+    /// Takes a datagram that has arrived by now: sender, receiver and bytes.
     pub fn take_arrived(&mut self, now: Moment) -> Option<(SocketAddr, SocketAddr, Vec<u8>)> {
         self.next_arrival().filter(|at| *at <= now)?;
         self.in_flight.pop_first().map(|(_, flight)| flight)
--- a/crates/standins/src/preload.rs
+++ b/crates/standins/src/preload.rs
@@ -1,6 +1,7 @@
-//! A small library that is preloaded into a router's process, fails its system calls in documented ways and steps its wall
-//! clock. It is built from `preload/faults.c` with the machine's compiler. Calls that a program makes past the C library are out of its
-//! reach: connects, sockets and polls of the router are, unless it is built with `RUSTFLAGS='--cfg rustix_use_libc'`, for a soak alone.
+//! A small library that is preloaded into a router's process, makes its system calls fail in documented ways
+//! and steps its wall clock. It is built from `preload/faults.c` with the system's C compiler. It doesn't see
+//! calls that bypass the C library: the router's connects, sockets and polls do so unless it is built with
+//! `RUSTFLAGS='--cfg rustix_use_libc'`, which is meant for soak tests only.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -10,14 +11,16 @@
 use std::time::Duration;
 
 const SOURCE: &str = include_str!("../preload/faults.c");
-/// The slots that the library shares: two for each call, the shortest transfer, the step of the clock, and how often each call failed.
+/// Slots of the file that the library maps: two for each call, the maximum transfer, the clock step, and the
+/// number of failures of each call.
 const CALL_COUNT: usize = 8;
 const MAX_TRANSFER_SLOT: usize = 2 * CALL_COUNT;
 const CLOCK_STEP_SLOT: usize = MAX_TRANSFER_SLOT + 1;
 const FIRST_FAILURE_COUNT_SLOT: usize = CLOCK_STEP_SLOT + 1;
 const SLOT_COUNT: usize = FIRST_FAILURE_COUNT_SLOT + CALL_COUNT;
 
-/// A call that can fail, in the order of the library's slots.
+/// A system call that can fail, in the order of the library's slots. The names are part of the printed fault
+/// schedules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
     Read,
@@ -30,7 +33,7 @@
     Poll,
 }
 
-/// Why there is no library.
+/// Why the library could not be built.
 #[derive(Debug)]
 pub struct BuildError(String);
 
@@ -48,7 +51,7 @@
 }
 
 impl Preload {
-    /// Builds the library into `folder`, and the file through which faults are set for a process of that name.
+    /// Builds the library in `folder`, and the file through which the faults of the named process are set.
     pub fn build(folder: &Path, name: &str) -> Result<Self, BuildError> {
         let fault = |error: std::io::Error| BuildError(error.to_string());
         fs::create_dir_all(folder).map_err(fault)?;
@@ -68,30 +71,30 @@
         Ok(Self { library, slots, file })
     }
 
-    /// What the process is to be started with.
+    /// The environment variables with which the process must be started.
     pub fn environment(&self) -> Vec<(String, String)> {
         let shown = |path: &Path| path.display().to_string();
         vec![("LD_PRELOAD".into(), shown(&self.library)), ("WOADHOOK_FAULTS".into(), shown(&self.slots))]
     }
 
-    /// From now on each so many-th such call fails with this error; with 0, none.
+    /// Makes every `every`-th such call fail with this error from now on; 0 turns the failures off.
     pub fn fail(&self, call: SystemCall, every: u32, error: rustix::io::Errno) {
         self.set(2 * call as usize + 1, error.raw_os_error().into());
         self.set(2 * call as usize, every.into());
     }
 
-    /// From now on no read or write passes on more than so many bytes; with 0, as many as there are.
+    /// Limits every read and write to `max_bytes` from now on; 0 removes the limit.
     pub fn limit_transfers(&self, max_bytes: u32) {
         self.set(MAX_TRANSFER_SLOT, max_bytes.into());
     }
 
-    /// The wall clock of the process shows so much more, or less, from now on.
+    /// Sets the process's wall clock this far ahead, or behind if `back` is set, from now on.
     pub fn step_clock(&self, step: Duration, back: bool) {
         let micros = i64::try_from(step.as_micros()).expect("less than an age");
         self.set(CLOCK_STEP_SLOT, if back { -micros } else { micros });
     }
 
-    /// How often such a call was made to fail.
+    /// How many such calls failed because of this library.
     pub fn failure_count(&self, call: SystemCall) -> u64 {
         let mut bytes = [0; 8];
         let at = (FIRST_FAILURE_COUNT_SLOT + call as usize) as u64 * 8;
@@ -99,7 +102,7 @@
         u64::from_ne_bytes(bytes)
     }
 
-    /// No fault from now on.
+    /// Turns all faults off; the failure counts remain.
     pub fn clear(&self) {
         self.file.write_all_at(&[0; FIRST_FAILURE_COUNT_SLOT * 8], 0).expect("the file of faults");
     }
--- a/crates/standins/src/processes.rs
+++ b/crates/standins/src/processes.rs
@@ -1,5 +1,5 @@
-//! The built program in processes of its own, and what may befall them: killed, told to end, stopped for a while,
-//! told to read its configuration again. A process ends with its guard, also when a story panics.
+//! Runs the built program in processes that a test can kill, terminate, suspend and reload. A process ends
+//! with its guard, also when a test panics.
 
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -20,38 +20,41 @@
 use crate::log_reader::{LogReadMode, LogReader};
 use crate::preload::Preload;
 
-/// Sets what a process is sent as its parent ends, and becomes the program that it is told (util-linux).
+/// Program of util-linux that sets the signal sent to a process when its parent ends, then executes a
+/// command.
 const SETPRIV: &str = "setpriv";
-/// What a log's pipe holds: the least that the system allows, so that it is full at once where nobody reads.
+/// Capacity of a log's pipe. It is the minimum that the system allows, so that the pipe fills at once when
+/// nobody reads.
 const LOG_PIPE_BYTES: usize = 4_096;
-/// A program that was started has its handlers of signals by then.
+/// A started program has installed its signal handlers within this time.
 const HANDLER_WAIT_LIMIT: Duration = Duration::from_millis(500);
-/// What the processes of stories log.
+/// Log level of processes under test.
 const TEST_LOG_LEVEL: &str = "info,woadhook_router=debug";
 
-/// What stands in the place of a configuration.
+/// What can replace a configuration file so that it can't be read. The names are part of the printed fault
+/// schedules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadableConfig {
     /// A FIFO that nobody writes to.
     Fifo,
-    /// What is no configuration.
+    /// A file that is not a configuration.
     Garbage,
 }
 
-/// One router as a process. It keeps its name and its address over restarts, as on the platform.
+/// A router process. It keeps its name and address across restarts, as on the platform.
 pub struct RouterProcess {
     program: PathBuf,
-    /// What its command line says besides.
+    /// Additional command line arguments.
     arguments: Vec<String>,
     config_path: PathBuf,
-    /// What the configuration says, and what stands in its place for now.
+    /// The configuration, and what replaces its file at the moment, if anything.
     config: Mutex<Value>,
     config_replacement: Mutex<Option<UnreadableConfig>>,
     log_path: PathBuf,
-    /// Reads the log from a pipe; else it is a file.
+    /// Reads the log from a pipe; without it, the process writes the log to the file itself.
     reader: Option<LogReader>,
     level: String,
-    /// Beside what every process of stories is told.
+    /// Environment variables beyond those that every process gets.
     environment: Vec<(String, String)>,
     pub name: String,
     pub address: SocketAddr,
@@ -59,26 +62,26 @@
 }
 
 impl RouterProcess {
-    /// Starts `program`, told `told` under such a name, at an address that is free; its files go to `folder`.
+    /// Starts `program` with this configuration and name at a free address; its files go to `folder`.
     pub fn start(program: &str, folder: &Path, name: &str, config: &str) -> Self {
         Self::start_with_arguments(program, &[], folder, name, config)
     }
 
-    /// One whose command line says more.
+    /// Starts a process with additional command line arguments.
     pub fn start_with_arguments(
         program: &str, arguments: &[String], folder: &Path, name: &str, config: &str,
     ) -> Self {
         Self::start_with_log_level(TEST_LOG_LEVEL, program, arguments, folder, name, config)
     }
 
-    /// One that logs at such a level, as measurements want no line for each job.
+    /// Starts a process with this log level; measurements want no log line per job.
     pub fn start_with_log_level(
         level: &str, program: &str, arguments: &[String], folder: &Path, name: &str, config: &str,
     ) -> Self {
         Self::start_with_environment(Vec::new(), level, program, arguments, folder, name, config)
     }
 
-    /// One with faults of its system calls and its wall clock.
+    /// Starts a process whose system calls can be made to fail and whose wall clock can be stepped.
     pub fn start_with_preload(
         preload: &Preload, program: &str, folder: &Path, name: &str, config: &str,
     ) -> Self {
@@ -93,7 +96,8 @@
         )
     }
 
-    /// One whose log is read from a pipe, so that its reader can stand; with faults where there is a library for them.
+    /// Starts a process whose log goes through a pipe, so that its reader can pause; with faults if there is
+    /// a library for them.
     pub fn start_with_log_pipe(
         preload: Option<&Preload>, program: &str, folder: &Path, name: &str, config: &str,
     ) -> Self {
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Starts it from nothing, under its name and at its address.
+    /// Starts the process anew, with its name and address.
     pub fn start_again(&mut self) {
         assert!(self.child.is_none(), "{} runs", self.name);
         self.restore_config();
@@ -166,7 +170,7 @@
         self.child = Some(child.expect("the program starts"));
     }
 
-    /// Changes what it is told from its next reading on.
+    /// Changes the configuration that the process reads next.
     pub fn change_config(&self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config.lock().unwrap());
         if self.config_replacement.lock().unwrap().is_none() {
@@ -175,13 +179,14 @@
     }
 
     fn write_config(&self) {
-        // In one step, as a router may read it at any time.
+        // Replaces the file atomically, as a router may read it at any time.
         let new = self.config_path.with_extension("new");
         fs::write(&new, self.config.lock().unwrap().to_string()).expect("a file");
         fs::rename(new, &self.config_path).expect("a file");
     }
 
-    /// Puts what can't be read in place of the configuration, until it is shown again or the process starts anew.
+    /// Replaces the configuration file with something unreadable, until it is restored or the process starts
+    /// anew.
     pub fn hide_config(&self, replacement: UnreadableConfig) {
         let new = self.config_path.with_extension("new");
         match replacement {
@@ -200,7 +205,7 @@
         }
     }
 
-    /// Has its log read so from now on; whether that can be.
+    /// Sets how the log is read. Returns false if the process writes its log to a file directly.
     pub fn read_log(&self, reading: LogReadMode) -> bool {
         self.reader.as_ref().inspect(|reader| reader.set(reading)).is_some()
     }
@@ -209,12 +214,13 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// Whether something else stands in place of its configuration.
+    /// Whether the configuration file is replaced with something unreadable.
     pub fn is_config_hidden(&self) -> bool {
         self.config_replacement.lock().unwrap().is_some()
     }
 
-    /// Sends it a signal; one that the program catches not before it does, as it would end it.
+    /// Sends a signal. A signal that the program handles is sent only once its handler is installed, as it
+    /// would end the process before that.
     pub fn signal(&self, signal: Signal) {
         let id = self.id().expect("it runs");
         if [Signal::HUP, Signal::TERM, Signal::INT].contains(&signal) {
@@ -223,14 +229,14 @@
         kill_process(Pid::from_raw(id as i32).expect("a process"), signal).expect("a signal");
     }
 
-    /// Sends a signal to the process of that id and to no later one.
+    /// Sends a signal to the process with this id, not to a later one.
     pub fn signal_if(&self, id: u32, signal: Signal) {
         if self.id() == Some(id) {
             self.signal(signal);
         }
     }
 
-    /// Ends it outright.
+    /// Kills the process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -243,7 +249,7 @@
         self.reader.iter_mut().for_each(LogReader::finish);
     }
 
-    /// How it ended, once it has.
+    /// Returns the exit status once the process has ended.
     pub fn try_wait(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut().expect("it was started").try_wait().expect("a child")?;
         self.child = None;
@@ -251,7 +257,7 @@
         Some(status)
     }
 
-    /// Waits for the end of one that was told to end.
+    /// Waits until the process ends. Kills it and panics if it does not within the time limit.
     pub fn wait(&mut self) -> ExitStatus {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -266,15 +272,15 @@
         }
     }
 
-    /// Whether it runs on: it was started and has not ended by itself.
-    /// It is not waited for, so that its id stays its own.
+    /// Whether the process was started and has not ended by itself. The process is not reaped, so that its id
+    /// is not reused.
     pub fn is_running(&self) -> bool {
         let options = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
         let id = self.id().and_then(|id| Pid::from_raw(id as i32));
         id.is_some_and(|id| waitid(WaitId::Pid(id), options).expect("a child").is_none())
     }
 
-    /// Waits until it answers `ping` with true.
+    /// Waits until the process answers `ping` with true.
     pub fn wait_until_ready(&self) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while !self.answers_ping() {
@@ -289,19 +295,19 @@
         Client(stream).try_ping()
     }
 
-    /// All that it has logged, over its restarts.
+    /// The whole log, across restarts.
     pub fn log_text(&self) -> String {
         fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
-    /// The lines of its log on a job, by the job's id.
+    /// The log lines that mention a job's id.
     pub fn log_lines_of_job(&self, id: &str) -> Vec<String> {
         self.log_text().lines().filter(|line| line.contains(id)).map(str::to_owned).collect()
     }
 }
 
 impl Drop for RouterProcess {
-    /// No step of it went past its guard.
+    /// Kills the process and checks that its log reports no violation of a step's guard.
     fn drop(&mut self) {
         self.kill();
         if !thread::panicking() {
@@ -312,7 +318,8 @@
     }
 }
 
-/// Waits until a process catches a signal, as one that has just begun does not yet; for so long at most.
+/// Waits until the process has installed a handler for the signal, up to a time limit; a newly started one
+/// has not.
 fn wait_for_handler(id: u32, signal: Signal) {
     let deadline = Instant::now() + HANDLER_WAIT_LIMIT;
     while !has_handler(id, signal) && Instant::now() < deadline {
@@ -320,7 +327,7 @@
     }
 }
 
-/// Whether the system tells that the process has a handler for the signal.
+/// Whether the system lists a handler of the process for the signal.
 fn has_handler(id: u32, signal: Signal) -> bool {
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
@@ -328,8 +335,8 @@
     caught & 1 << (signal.as_raw() - 1) != 0
 }
 
-/// A command that is killed as the thread that starts it ends, also where a test is killed and no guard runs. Where the machine has no
-/// `setpriv`, it is not.
+/// A command that is killed when the thread that starts it ends, so that it also ends when a test is killed
+/// and no guard runs. Without `setpriv` on the machine the command is not killed.
 pub fn command_killed_with_thread(program: &Path) -> Command {
     let found = Command::new(SETPRIV).arg("--version").stdout(Stdio::null()).stderr(Stdio::null()).status();
     if !found.is_ok_and(|status| status.success()) {
@@ -340,22 +347,22 @@
     command
 }
 
-/// A free port at an address of this process's own: one at 127.0.0.1 might be taken, between this look and the program's
-/// start, by any of the connections that stories make there.
+/// Returns a free port at a loopback address that only this process uses. At 127.0.0.1 one of the connections
+/// that tests make could take the port before the program binds it.
 fn free_address() -> SocketAddr {
     TcpListener::bind((unique_loopback_address(), 0))
         .and_then(|listener| listener.local_addr())
         .expect("an address")
 }
 
-/// The same for datagrams.
+/// Returns a free datagram port in the same way.
 pub fn free_datagram_address() -> SocketAddr {
     UdpSocket::bind((unique_loopback_address(), 0))
         .and_then(|socket| socket.local_addr())
         .expect("an address")
 }
 
-/// An address of the loopback network that is this process's own, another one each time.
+/// Returns an address of the loopback network that only this process uses, a different one for each call.
 fn unique_loopback_address() -> Ipv4Addr {
     static COUNT: AtomicU8 = AtomicU8::new(0);
     let (id, count) = (std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
--- a/crates/standins/src/relays.rs
+++ b/crates/standins/src/relays.rs
@@ -1,5 +1,5 @@
-//! A network of relays on loopback: everything between two parties of a story passes one, and the story says what becomes
-//! of it. Connections and datagrams alike; by pair, by zone, by region, one way or both.
+//! A network of relays on loopback. All connections and datagrams between the parties of a test pass a relay,
+//! whose conditions the test sets by pair, zone or region, in one direction or both.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -19,18 +19,19 @@
 
 use crate::ports;
 
-/// Bytes that are passed on at a time.
+/// Maximum number of bytes forwarded at a time.
 const CHUNK_BYTES: usize = 8 * 1024;
-/// The relays look so often whether their thread runs, and tell of a rest that is longer.
+/// Interval at which the relays check that their thread runs; longer delays of the check are recorded as
+/// rests.
 const REST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const MIN_RECORDED_REST: Duration = Duration::from_millis(50);
-/// Rests that are told at the most.
+/// Maximum number of recorded rests.
 const MAX_RECORDED_RESTS: usize = 200;
-/// Own connections that fill a listener's queue during a cut.
+/// Number of the relays' own connections that fill a listener's queue during a cut.
 const FILLER_COUNT: usize = 4;
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Whom something befalls.
+/// A set of endpoints. The names of the variants are part of the printed fault schedules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointSet {
     All,
@@ -49,17 +50,18 @@
     }
 }
 
-/// What becomes of what goes one way.
+/// Conditions for the traffic in one direction. The names are part of the printed fault schedules.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Way {
-    /// Nothing passes, and nobody is told: bytes wait for the end of the cut, datagrams are lost, connections don't come up.
+    /// Nothing passes and no error is reported: bytes wait for the end of the cut, datagrams are lost,
+    /// connections are not established.
     pub cut: bool,
-    /// Least and most delay in milliseconds, drawn evenly; bytes keep their order, datagrams don't.
+    /// Minimum and maximum delay in milliseconds, drawn uniformly; bytes keep their order, datagrams don't.
     pub delay: (u64, u64),
-    /// Shares of datagrams, from 0 to 1.
+    /// Probabilities of loss and of duplication per datagram, from 0 to 1.
     pub loss: f64,
     pub twice: f64,
-    /// The slowest part of the way, for bytes.
+    /// Bandwidth for bytes of connections.
     pub bytes_per_s: Option<u64>,
 }
 
@@ -67,7 +69,7 @@
     pub const CUT: Way = Way { cut: true, delay: (0, 0), loss: 0.0, twice: 0.0, bytes_per_s: None };
 }
 
-/// A time in which the relays' thread did not run, so that nothing passed.
+/// A period in which the relays' thread did not run, so that nothing was forwarded.
 #[derive(Clone, Copy, Debug)]
 pub struct Rest {
     pub from: Instant,
@@ -79,18 +81,18 @@
     region: String,
 }
 
-/// A way through for connections.
+/// A relay for connections from one party to another.
 struct ConnectionRelay {
     from: String,
     to: String,
     listener: Arc<Async<TcpListener>>,
-    /// Where new connections lead.
+    /// The address to which new connections are forwarded.
     target: Arc<Mutex<SocketAddr>>,
-    /// Whether its relay takes connections in, which it leaves off soon after a cut is laid.
+    /// Whether the relay accepts connections. It stops soon after a cut begins.
     accepts: Arc<AtomicBool>,
     /// Whether it refuses connections for good.
     refuses: Arc<AtomicBool>,
-    /// Own connections that keep others' from coming up; emptied as the cut ends.
+    /// Own connections that keep others from being established; empty when there is no cut.
     fillers: Vec<Socket>,
 }
 
@@ -116,19 +118,20 @@
 
 struct State {
     places: BTreeMap<String, Location>,
-    /// The latest that fits counts.
+    /// The conditions in force. The latest matching entry applies.
     ways: Vec<(EndpointSet, EndpointSet, Way)>,
-    /// Whether anything was ever laid.
+    /// Whether any condition was ever set.
     ever_had_ways: bool,
     rng: Pcg32,
     connection_relays: Vec<ConnectionRelay>,
     rests: Vec<Rest>,
-    /// Listener's and own connection's ports; each goes as its connection is taken in, a few a cut stay for good.
+    /// Ports of the listener and of an own connection. An entry is removed when its connection is accepted; a
+    /// few for each cut remain.
     filler_ports: BTreeSet<(u16, u16)>,
-    /// Connections that are up, each with its end; emptied as they end.
+    /// Open connections with both parties and their reset; an entry is removed when its connection ends.
     connections: BTreeMap<u64, (String, String, Arc<ResetRequest>)>,
     count: u64,
-    /// By name: the address that others know, and the one behind it.
+    /// By party: the public socket and the party's own address.
     datagram_relays: BTreeMap<String, (Arc<Async<UdpSocket>>, SocketAddr)>,
 }
 
@@ -143,7 +146,7 @@
     changed: Event,
 }
 
-/// The network. Its relays end with it.
+/// The network. Its relays end when it is dropped.
 pub struct Relays {
     shared: Arc<Shared>,
     executor: Arc<Executor<'static>>,
@@ -173,13 +176,13 @@
         Self { shared, executor, _shutdown: shutdown }
     }
 
-    /// Names a party and where it stands.
+    /// Registers a party with its zone and region.
     pub fn add_party(&self, name: &str, zone: &str, region: &str) {
         let place = Location { zone: zone.to_owned(), region: region.to_owned() };
         self.shared.state.lock().unwrap().places.insert(name.to_owned(), place);
     }
 
-    /// An address at which `from` reaches `to`, which listens at `target`.
+    /// Returns an address at which `from` reaches `to`, which listens at `target`.
     pub fn relay_address(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
         let listener = Arc::new(Async::new(ports::listener()).expect("a listener"));
         let address = listener.get_ref().local_addr().expect("an address");
@@ -232,8 +235,8 @@
         address
     }
 
-    /// The address under which others know a party that receives datagrams at `own`. What it sends comes to them from that
-    /// address too, so that proofs of addresses hold.
+    /// Returns the public address of a party that receives datagrams at `own`. Its own datagrams also reach
+    /// the others from that address, so that address validation holds.
     pub fn datagram_relay_address(&self, name: &str, own: SocketAddr) -> SocketAddr {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0)).expect("an address");
         let address = socket.get_ref().local_addr().expect("an address");
@@ -258,7 +261,8 @@
         address
     }
 
-    /// What goes from one side to the other goes so from now on; all of it begins at once, and the last that fits counts.
+    /// Sets conditions for the traffic between endpoints. All of them begin at once; the latest matching one
+    /// applies.
     pub fn set_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut state = self.shared.state.lock().unwrap();
         state.ways.extend(ways);
@@ -267,12 +271,12 @@
         self.shared.update_listeners();
     }
 
-    /// Whether anything went otherwise than at the start at any time, so that bytes may have come later than they were sent.
+    /// Whether any condition was ever set, so that bytes may have arrived later than they were sent.
     pub fn ever_had_ways(&self) -> bool {
         self.shared.state.lock().unwrap().ever_had_ways
     }
 
-    /// What was laid so goes as before that.
+    /// Removes conditions that were set earlier.
     pub fn remove_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut state = self.shared.state.lock().unwrap();
         for way in ways {
@@ -284,13 +288,13 @@
         self.shared.update_listeners();
     }
 
-    /// All goes as at the start.
+    /// Removes all conditions.
     pub fn heal(&self) {
         self.shared.state.lock().unwrap().ways.clear();
         self.shared.update_listeners();
     }
 
-    /// From now on nothing takes connections to this party in: they are refused. Those that are up go on.
+    /// Refuses new connections to this party from now on. Open connections stay open.
     pub fn refuse_connections(&self, party: &str) {
         let mut state = self.shared.state.lock().unwrap();
         for passage in state.connection_relays.iter_mut().filter(|passage| passage.to == party) {
@@ -301,7 +305,8 @@
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// From now on connections to this party lead to another process at its port. Those that are up go on.
+    /// Forwards new connections for this party to another process, as if that had its port. Open connections
+    /// stay as they are.
     pub fn redirect(&self, party: &str, target: SocketAddr) {
         let state = self.shared.state.lock().unwrap();
         for passage in state.connection_relays.iter().filter(|passage| passage.to == party) {
@@ -309,18 +314,18 @@
         }
     }
 
-    /// The relays' thread does not run for so long.
+    /// Blocks the relays' thread for this time.
     pub fn block_thread(&self, span: Duration) {
         self.executor.spawn(async move { thread::sleep(span) }).detach();
     }
 
-    /// When the relays' thread did not run for long, as on a machine that is busy with other work: what passed then came later than it was
-    /// sent.
+    /// The periods in which the relays' thread did not run, as on a busy machine. Traffic of such a period
+    /// arrived later than it was sent.
     pub fn rests(&self) -> Vec<Rest> {
         self.shared.state.lock().unwrap().rests.clone()
     }
 
-    /// Resets the connections that are up from one side to the other; how many.
+    /// Resets the open connections from one set of endpoints to another. Returns their number.
     pub fn reset(&self, from: &EndpointSet, to: &EndpointSet) -> usize {
         let state = self.shared.state.lock().unwrap();
         let hit = state.connections.values().filter(|(a, b, _)| state.is_in(a, from) && state.is_in(b, to));
@@ -358,12 +363,12 @@
         self.way(from, to).cut || self.way(to, from).cut
     }
 
-    /// Whether a connection is one of the network's own. Those that stood in a queue at the end of a cut come then.
+    /// Whether a connection is one of the relays' own. Those still queued when a cut ends are accepted then.
     fn is_filler(&mut self, at: SocketAddr, peer: SocketAddr) -> bool {
         self.filler_ports.remove(&(at.port(), peer.port()))
     }
 
-    /// What becomes of a datagram to a party: when it goes on, from which socket and where to, for each copy.
+    /// Decides what happens to a datagram for a party: delay, sending socket and destination of each copy.
     fn deliveries(
         &mut self, sender: SocketAddr, to: &str,
     ) -> Vec<(Duration, Arc<Async<UdpSocket>>, SocketAddr)> {
@@ -381,8 +386,9 @@
 }
 
 impl Shared {
-    /// Connections across a cut don't come up: once its relay takes none in, the queue of its listener is made short and
-    /// filled, so that the system drops what asks for more, as where nothing is heard of the other end.
+    /// Applies cuts to listeners. Connections across a cut must not be established: once a relay has stopped
+    /// accepting, its listener's queue is shortened and filled, so that the system drops further attempts, as
+    /// if the other end were unreachable.
     fn update_listeners(&self) {
         self.changed.notify(usize::MAX);
         let by = Instant::now() + Duration::from_secs(5);
@@ -406,7 +412,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Until so many bytes have gone one way.
+    /// Waits as long as this many bytes take in one direction.
     async fn wait_to_pass(&self, from: &str, to: &str, bytes: usize) {
         let mut under_way = false;
         loop {
@@ -445,7 +451,8 @@
     }
 }
 
-/// One connection, from the time it comes up. One that was asked for before a cut and not yet taken in comes to nothing.
+/// Relays one connection from the time it is accepted. One that was requested before a cut and not accepted
+/// yet is reset.
 async fn relay_connection(
     shared: &Shared, from: &str, to: &str, client: Async<TcpStream>, target: SocketAddr,
 ) {
@@ -492,7 +499,7 @@
     shared.state.lock().unwrap().connections.remove(&number);
 }
 
-/// A reset in place of an orderly close.
+/// Makes the socket send a reset instead of an orderly close.
 fn reset_on_close(stream: &Async<TcpStream>) {
     let _ = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
 }
--- a/crates/standins/src/routers.rs
+++ b/crates/standins/src/routers.rs
@@ -1,4 +1,4 @@
-//! Routers on threads of their own, and what they are told.
+//! Routers that run on threads of the test's process, and their configuration.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{self, Receiver};
@@ -14,7 +14,7 @@
 use crate::TEST_TIMEOUT;
 use crate::discovery::{DiscoveryEvents, roster_member};
 
-/// What a router is told; `look` may run again, `load` must not run twice.
+/// Returns a router configuration. Jobs of type `look` are restartable, jobs of type `load` are run-once.
 pub fn router_config(engines: &[SocketAddr], bulletin: SocketAddr, max_sockets: usize) -> String {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "goalTimeUs": 2_000_000, "deadlineUs": 60_000_000, "gain": 1.0, "lateWorth": 1.0,
@@ -39,7 +39,7 @@
     .to_string()
 }
 
-/// A router on a thread of its own.
+/// A router on its own thread.
 pub struct RouterThread {
     pub address: SocketAddr,
     pub commands: async_channel::Sender<OperatorCommand>,
@@ -51,7 +51,7 @@
         Self::start_with_config(&router_config(engines, bulletin, 1024))
     }
 
-    /// One whose bulletin tells nothing new.
+    /// Starts a router whose discovery publishes no events.
     pub fn start_with_idle_discovery(engines: &[SocketAddr]) -> Self {
         Self::start(engines, DiscoveryEvents::default().serve().address)
     }
@@ -60,12 +60,12 @@
         Self::start_with_gossip(config, None)
     }
 
-    /// One that talks with other routers.
+    /// Starts a router that gossips with others if `gossip` is set.
     pub fn start_with_gossip(config: &str, gossip: Option<GossipSetup>) -> Self {
         Self::start_with_operator_file(config, gossip, OperatorFile::default())
     }
 
-    /// One with an operator file.
+    /// Starts a router with an operator file.
     pub fn start_with_operator_file(
         config: &str, gossip: Option<GossipSetup>, operator_file: OperatorFile,
     ) -> Self {
--- a/crates/standins/src/simulation.rs
+++ b/crates/standins/src/simulation.rs
@@ -1,5 +1,5 @@
-//! Routers with the real decision module, and with or without gossip, before engines of a virtual world. It looks
-//! at what peers see: sends by engine, executions by job, final answers; and checks the rules on them.
+//! Simulates routers with the real decision module, with or without gossip, and engines on virtual time. It
+//! records dispatches by engine, executions by job and final answers, and checks the rules on them.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,35 +15,35 @@
 use crate::net::NetworkConditions;
 use crate::routers::router_config;
 
-/// Types of the stand-ins' settings.
+/// Indices of the types in the stand-ins' settings.
 pub const LOOK_TYPE: usize = 0;
 pub const LOAD_TYPE: usize = 1;
-/// What the settings of the stand-ins say.
+/// Values of the stand-ins' settings.
 const DRAIN_GRACE: Span = Span::from_micros(1_000_000);
 const CONNECT_TIMEOUT: Span = Span::from_micros(250_000);
-/// How long an engine is at a job.
+/// How long an engine works on a job.
 const JOB_TIME: Span = Span::from_micros(50_000);
-/// An engine that hears nothing of a query any more ends it after so long.
+/// An engine ends a query that was not polled for this time.
 const UNPOLLED_QUERY_TIMEOUT: Span = Span::from_micros(2_250_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
     Healthy,
-    /// It takes all in and says nothing.
+    /// It accepts dispatches and never answers.
     Silent,
     /// Its port is closed.
     Dead,
 }
 
-/// An engine, and what it saw.
+/// An engine and the dispatches that it received.
 pub struct Engine {
     pub name: String,
     pub state: EngineState,
-    /// When a dispatch came, and from which router.
+    /// When each dispatch arrived, and from which router.
     pub dispatches: Vec<(Moment, usize)>,
-    /// By router and job.
+    /// Number of executions by router and job.
     executions: HashMap<(usize, usize), u32>,
-    /// When each router was told that it drains or is gone.
+    /// When each router learned that the engine drains or is gone.
     drain_times: HashMap<usize, Moment>,
 }
 
@@ -61,16 +61,16 @@
     dispatches: usize,
 }
 
-/// One router of the world.
+/// One router of the simulation.
 struct SimulatedRouter {
     instance: Instance,
-    /// Jobs a second.
+    /// Jobs per second.
     rate: f64,
     jobs: Vec<Job>,
-    /// What is out, by job and dispatch: the engine, and when it was sent.
+    /// Outstanding dispatches by job and dispatch number: the engine, and when it was sent.
     outstanding: BTreeMap<(usize, usize), (usize, Moment)>,
     wake: Option<Moment>,
-    /// The module's indices of jobs are its places in `jobs`.
+    /// Number of jobs that arrived. The decision module's job indices are positions in `jobs`.
     arrivals: u64,
 }
 
@@ -92,12 +92,12 @@
     rng: Pcg32,
     queue: BTreeMap<(Moment, u64), SimulationEvent>,
     count: u64,
-    /// One job in so many is a load, which must not run twice.
+    /// Every so many jobs one is a load, which is run-once.
     pub load_interval: u64,
 }
 
 impl Simulation {
-    /// Routers with such rates of jobs a second; they gossip or not.
+    /// Creates one router for each rate, in jobs per second, with or without gossip.
     pub fn new(seed: u64, engines: usize, rates: &[f64], gossip: bool) -> Self {
         let mut cluster =
             Cluster::new(seed, rates.len(), NetworkConditions::reliable(), default_gossip_config());
@@ -160,19 +160,19 @@
         self.cluster.now
     }
 
-    /// An engine's fate changes after a span.
+    /// Changes an engine's state after a delay.
     pub fn set_engine_state_after(&mut self, after: Span, engine: usize, state: EngineState) {
         self.schedule(self.now() + after, SimulationEvent::EngineChanges { engine, state });
     }
 
-    /// A router's list says so after a span.
+    /// Changes an engine's status in a router's list after a delay.
     pub fn set_engine_status_after(
         &mut self, after: Span, router: usize, engine: usize, status: EngineStatus,
     ) {
         self.schedule(self.now() + after, SimulationEvent::EngineListed { router, engine, status });
     }
 
-    /// A router hears a doubt, whoever says so.
+    /// Passes a peer report to a router as if it came from any member.
     pub fn peer_report(&mut self, router: usize, engine: usize, type_name: Option<usize>, suspicion: f64) {
         let now = self.now();
         if let Some(id) = self.id(router, engine) {
@@ -321,7 +321,7 @@
         let Some((engine, sent)) = self.sim_routers[router].outstanding.get(&(job, number)).copied() else {
             return;
         };
-        // A silent engine has no end to tell; only time and the router itself end it there.
+        // A silent engine never reports an end; only a timeout or the router itself ends the dispatch.
         if outcome == Outcome::Done && self.engines[engine].state != EngineState::Healthy {
             return;
         }
@@ -436,7 +436,8 @@
         self.schedule(now + timeout.max(after) + secs(0.001), timed_out);
     }
 
-    /// Jobs of a router that arrived in a stretch of time, by how they ended: done, throttled, cancelled for good, open.
+    /// Counts the jobs of a router that arrived in a period by outcome: done, throttled, cancelled for good,
+    /// unanswered.
     pub fn job_outcomes(&self, router: usize, from: Moment, to: Moment) -> [usize; 4] {
         let mut counts = [0; 4];
         for job in self.sim_routers[router].jobs.iter().filter(|job| (from..to).contains(&job.arrived)) {
@@ -451,7 +452,7 @@
         counts
     }
 
-    /// The mean time to the answer of a router's done jobs that arrived in a stretch, and the longest.
+    /// The mean and the maximum answer time of a router's done jobs that arrived in a period.
     pub fn answer_times(&self, router: usize, from: Moment, to: Moment) -> (Span, Span) {
         let done = self.sim_routers[router].jobs.iter().filter(|job| (from..to).contains(&job.arrived));
         let times: Vec<Span> = done
@@ -464,13 +465,13 @@
         (mean, times.into_iter().max().unwrap_or_default())
     }
 
-    /// Dispatches of a router to an engine in a stretch of time.
+    /// The number of dispatches from a router to an engine in a period.
     pub fn dispatch_count(&self, engine: usize, router: usize, from: Moment, to: Moment) -> usize {
         let sends = self.engines[engine].dispatches.iter();
         sends.filter(|(at, by)| *by == router && (from..to).contains(at)).count()
     }
 
-    /// The longest stretch within a time in which an engine got nothing at all.
+    /// The longest part of a period in which an engine received no dispatch.
     pub fn longest_idle(&self, engine: usize, from: Moment, to: Moment) -> Span {
         let sends =
             self.engines[engine].dispatches.iter().map(|(at, _)| *at).filter(|at| (from..to).contains(at));
@@ -478,7 +479,8 @@
         moments.windows(2).map(|pair| pair[1].since(pair[0])).max().unwrap_or_default()
     }
 
-    /// Which rules were broken: one answer each (of jobs whose time is up), no load twice, drains kept.
+    /// Lists the violated rules: at most one answer to each job, and one once its time is up; no load
+    /// executed twice; no dispatch after a drain's grace.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (router, sim_router) in self.sim_routers.iter().enumerate() {
--- a/crates/standins/src/troubles.rs
+++ b/crates/standins/src/troubles.rs
@@ -1,4 +1,5 @@
-//! Troubles that overlap in time: data from a seed that can be printed, played again and made smaller.
+//! Faults that overlap in time, drawn from a seed. A schedule can be printed, replayed and reduced. Tests
+//! store its Debug output, so the names of variants and printed fields and the order of draws must stay.
 
 use std::time::Duration;
 
@@ -11,61 +12,61 @@
 use crate::preload::SystemCall;
 use crate::processes::UnreadableConfig;
 
-/// Hours and seconds by which wall clocks step, in milliseconds.
+/// Steps of wall clocks, in milliseconds: an hour, and a little more than a second.
 const CLOCK_STEPS_MS: [i64; 4] = [3_600_000, -3_600_000, 1_300, -1_300];
-/// Groups of troubles begin so far apart, in milliseconds.
+/// Interval between the starts of two groups of troubles, in milliseconds.
 const GROUP_INTERVAL_MS: u64 = 1_600;
-/// Discovery answers so late at the most, in milliseconds: half of the grace of the rig's fleets.
+/// Maximum delay of discovery's answers, in milliseconds: half of the fleets' drain grace.
 const MAX_DISCOVERY_DELAY_MS: u64 = 1_900;
-/// And for so long, in milliseconds.
+/// How long discovery answers late, in milliseconds.
 const DISCOVERY_DELAY_SPAN_MS: u64 = 9_000;
-/// Nobody reads a log, or writes to a FIFO, for so long, in milliseconds.
+/// How long nobody reads a log or writes to a FIFO, in milliseconds.
 const UNREAD_SPAN_MS: u64 = 9_000;
-/// Troubles of a group begin within this, in milliseconds.
+/// The troubles of a group begin within this time, in milliseconds.
 const GROUP_SPREAD_MS: u64 = 300;
 
-/// How an engine misbehaves.
+/// The behaviour of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineMode {
     Well,
     /// Answers every call with an error.
     Fails,
-    /// Takes calls and answers none.
+    /// Accepts calls and answers none.
     Hangs,
-    /// Ends the connection under each call.
+    /// Closes the connection on each call.
     Cuts,
-    /// Answers bytes that make no sense.
+    /// Answers with bytes that are no HTTP.
     Garbles,
 }
 
-/// How discovery misbehaves.
+/// The behaviour of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     Well,
-    /// Answers each call so many milliseconds late.
+    /// Answers each call after this delay, in milliseconds.
     Late(u64),
-    /// Answers no call; connections stay up.
+    /// Answers no call; connections stay open.
     Silent,
-    /// Ends the connection under each call.
+    /// Closes the connection on each call.
     Cuts,
 }
 
-/// How a client misbehaves.
+/// The kinds of misbehaving clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MisbehavingClient {
-    /// Begins a message and rests.
+    /// Sends half a message and stays connected.
     HalfMessage,
-    /// Sends many requests at once and goes.
+    /// Sends many requests at once and disconnects.
     Flood,
-    /// Asks and closes some milliseconds later.
+    /// Sends a request and closes the connection some milliseconds later.
     EarlyClose,
-    /// Gives a request a few milliseconds.
+    /// Sends a request with a deadline of a few milliseconds.
     TinyDeadline,
     /// Sends bytes that are no message.
     Garbage,
 }
 
-/// A signal of the operators.
+/// A signal that an operator sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorSignal {
     Reload,
@@ -73,32 +74,32 @@
     Interrupt,
 }
 
-/// A signal, so many milliseconds behind the one before.
+/// A signal, and its delay after the previous one in milliseconds.
 pub type TimedSignal = (u64, OperatorSignal);
 
-/// One trouble. Routers and engines are told by number, spans in milliseconds.
+/// One trouble. Routers and engines are given by number, spans in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
-    /// The process stands still.
+    /// Suspends the process.
     Stand {
         router: usize,
         span: u64,
     },
-    /// The process is killed, and started again.
+    /// Kills the process and starts it again.
     Kill {
         router: usize,
         span: u64,
     },
-    /// The process is told to end, and started again once it has.
+    /// Terminates the process and starts it again once it has ended.
     Restart {
         router: usize,
     },
-    /// Reloads in a row.
+    /// Sends several reload signals in a row.
     Reload {
         router: usize,
         times: usize,
     },
-    /// Discovery moves to another address, with a reload of all.
+    /// Moves discovery to another address and reloads all routers.
     Move,
     Discovery {
         mode: DiscoveryMode,
@@ -109,11 +110,11 @@
         mode: EngineMode,
         span: u64,
     },
-    /// Engines drain and go, and cold ones come in their places.
+    /// Engines drain and disappear; cold ones replace them.
     Replace {
         engines: Vec<usize>,
     },
-    /// System calls of the process fail.
+    /// Makes system calls of the process fail.
     Calls {
         router: usize,
         call: SystemCall,
@@ -121,31 +122,31 @@
         error: Errno,
         span: u64,
     },
-    /// Reads and writes of the process pass on few bytes at a time.
+    /// Limits reads and writes of the process to a few bytes.
     Short {
         router: usize,
         most: u32,
         span: u64,
     },
-    /// The wall clock of the process shows another time.
+    /// Steps the wall clock of the process.
     Clock {
         router: usize,
         step: i64,
         span: u64,
     },
-    /// Routers are killed at once, and started again by a wall clock that shows another time.
+    /// Kills several routers at once and starts them again with a stepped wall clock.
     Herd {
         routers: Vec<usize>,
         step: i64,
         span: u64,
     },
-    /// Nothing goes between a router and an engine.
+    /// Cuts the network between a router and an engine.
     Cut {
         router: usize,
         engine: usize,
         span: u64,
     },
-    /// All connections of a router to engines are reset.
+    /// Resets all connections of a router to engines.
     Reset {
         router: usize,
     },
@@ -154,39 +155,40 @@
         client: MisbehavingClient,
         count: usize,
     },
-    /// Signals in a row, one to end among them, while clients go on over open connections until the process is killed, at the page's
-    /// earliest. The span is the time until then, from the first signal to end on.
+    /// Sends several signals, at least one of which terminates the router, while clients go on over open
+    /// connections. The process is killed at the earliest time that the protocol document allows. The span
+    /// runs from the first terminating signal until then.
     Stop {
         router: usize,
         orders: Vec<TimedSignal>,
         span: u64,
     },
-    /// So many clients connect and say nothing.
+    /// Opens many connections that send nothing.
     Crowd {
         router: usize,
         count: usize,
         span: u64,
     },
-    /// The log of the process is not read, or slowly.
+    /// Reads the log of the process slowly or not at all.
     Log {
         router: usize,
         reading: LogReadMode,
         span: u64,
     },
-    /// The configuration can't be read, with a reload; then it can, with another.
+    /// Makes the configuration unreadable and reloads; later restores it and reloads again.
     Config {
         router: usize,
         what: UnreadableConfig,
         span: u64,
     },
-    /// The engine drains, refuses connections and works on, while clients leave whose loads run there; what is up there may be reset once. In
-    /// the end it is told gone and dies.
+    /// The engine drains, refuses connections and goes on working, while clients with loads there leave; its
+    /// open connections may be reset once. In the end it is announced as deleted and its process ends.
     Drain {
         engine: usize,
         resets: bool,
         span: u64,
     },
-    /// As [`Drain`](Self::Drain), but another engine's process has the port behind that.
+    /// As [`Drain`](Self::Drain), but the port is taken over by another engine's process.
     TakenPort {
         engine: usize,
         by: usize,
@@ -197,7 +199,7 @@
 }
 
 impl Trouble {
-    /// How long it lasts; what is done at once lasts no time.
+    /// How long it lasts in milliseconds; 0 for what happens at once.
     pub fn span(&self) -> u64 {
         match self {
             Self::Stand { span, .. }
@@ -229,7 +231,7 @@
         }
     }
 
-    /// The routers whose processes are stopped, killed or ended by it.
+    /// The routers whose processes it suspends, kills or terminates.
     pub fn processes(&self) -> Vec<usize> {
         match self {
             Self::Stand { router, .. }
@@ -241,7 +243,7 @@
         }
     }
 
-    /// The engines that are told to drain by it.
+    /// The engines that it drains.
     pub fn drains(&self) -> Vec<usize> {
         match self {
             Self::Replace { engines } => engines.clone(),
@@ -250,7 +252,7 @@
         }
     }
 
-    /// What it sets for its span, where others may set the same meanwhile.
+    /// A key for the state that it sets for its span, if overlapping troubles could set the same state.
     pub fn setting(&self) -> Option<String> {
         match self {
             Self::Discovery { .. } => Some("discovery".to_owned()),
@@ -264,32 +266,33 @@
         }
     }
 
-    /// Its kind, for the count of troubles that never happened.
+    /// The name of its kind, by which skipped troubles are counted.
     pub fn kind(&self) -> String {
         let shown = format!("{self:?}");
         shown.split([' ', '{']).next().unwrap_or_default().to_owned()
     }
 }
 
-/// A router that is told to end has ended by then, in milliseconds.
+/// A terminated router has ended within this time, in milliseconds.
 const RESTART_SPAN_MS: u64 = 4_500;
-/// The page's earliest kill behind a signal to end, in milliseconds: the longest deadline, 3 s at most, and 0.7 s.
+/// Earliest kill after a terminating signal by the protocol document, in milliseconds: the longest deadline,
+/// at most 3 s, and 0.7 s.
 pub(crate) const EARLIEST_KILL_MS: u64 = 3_700;
-/// Loads have begun by so long behind their requests.
+/// Loads have begun this long after their requests.
 pub(crate) const LOAD_START_TIME: Duration = Duration::from_millis(100);
-/// Between an engine's port that closes and the reset of what is up there.
+/// Time between the close of an engine's port and the reset of its open connections.
 pub(crate) const RESET_DELAY: Duration = Duration::from_millis(60);
-/// Idle clients of a crowd: more than the rig's routers have descriptors for (a third of 512).
+/// Number of idle clients in a crowd: more than the fleets' routers have descriptors for (a third of 512).
 const CROWD_SIZES: std::ops::Range<usize> = 180..260;
 
-/// A trouble and when it begins, in milliseconds from the start.
+/// A trouble and its start, in milliseconds from the start of the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timed {
     pub at: u64,
     pub trouble: Trouble,
 }
 
-/// What happens in one play.
+/// All troubles of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub seed: u64,
@@ -297,12 +300,13 @@
 }
 
 impl Plan {
-    /// Groups of two or three troubles that overlap, for so many milliseconds, behind a quiet time of any length.
+    /// Draws groups of two or three overlapping troubles over `length` milliseconds, after a quiet time of
+    /// random length.
     pub fn draw(seed: u64, routers: usize, engines: usize, length: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let (mut troubles, mut start) = (Vec::new(), rng.random_range(0..length / 3));
         while start < length {
-            // Troubles of one group meet at the same few routers.
+            // The troubles of a group affect the same few routers.
             let mut group_routers: Vec<usize> = (0..routers).collect();
             group_routers.shuffle(&mut rng);
             group_routers.truncate(2);
@@ -310,7 +314,8 @@
                 let at = start + rng.random_range(0..GROUP_SPREAD_MS);
                 let router = group_routers[rng.random_range(0..group_routers.len())];
                 let trouble = draw_trouble(&mut rng, router, routers, engines);
-                // What hides or misjudges a change of the list meets one.
+                // A trouble that hides or misjudges changes of the engine list is combined with such a
+                // change.
                 if matches!(trouble, Trouble::Discovery { .. } | Trouble::Herd { .. }) {
                     let replace = Trouble::Replace { engines: vec![rng.random_range(0..engines)] };
                     troubles.push(Timed { at: at + rng.random_range(0..GROUP_SPREAD_MS), trouble: replace });
@@ -326,7 +331,7 @@
         Self { seed, troubles }
     }
 
-    /// What is left when one trouble after another is taken out, as long as the play goes on failing.
+    /// Removes one trouble after another, as long as the rest still fails.
     pub fn shrink(&self, mut fails: impl FnMut(&Self) -> bool) -> Self {
         let mut smallest = self.clone();
         for place in (0..smallest.troubles.len()).rev() {
@@ -340,12 +345,14 @@
     }
 }
 
-/// Seeds from here on draw further troubles behind all others, so that the schedules of earlier seeds stay as they are.
+/// From this seed on, plans draw additional troubles after all others, so that the schedules of earlier seeds
+/// stay the same.
 pub const FIRST_SEED_WITH_ADDED_TROUBLES: u64 = 100_000;
-/// How long accepts fail at the most, in milliseconds.
+/// Maximum time for which accepts fail, in milliseconds.
 const MAX_FAILING_ACCEPTS_MS: u64 = 4_000;
 
-/// A port that another engine's process takes, loads that are left at an engine that fails soon after, and accepts that fail for seconds.
+/// Draws a port taken over by another engine's process, loads whose clients leave just before an engine
+/// fails, and accepts that fail for seconds.
 fn draw_added_troubles(rng: &mut Pcg32, routers: usize, engines: usize, length: u64) -> Vec<Timed> {
     let mut at = || rng.random_range(0..length);
     let (taken, left, accepts) = (at(), at(), at());
@@ -371,7 +378,7 @@
     ]
 }
 
-/// What may be drawn; clients that misbehave are drawn for all that has no number of its own.
+/// Number of equally likely draws. A draw without an arm of its own gives a misbehaving client.
 const DRAW_COUNT: u32 = 24;
 
 fn draw_trouble(rng: &mut Pcg32, router: usize, routers: usize, engines: usize) -> Trouble {
@@ -383,7 +390,8 @@
         3 => Trouble::Reload { router, times: rng.random_range(2..12) },
         4 => Trouble::Move,
         5 => {
-            // Late for longer than the grace, so that a change can't be heard behind it.
+            // Discovery answers late for longer than the grace, so that a change within it is always learnt
+            // from a late answer.
             match rng.random_range(0..4) {
                 0 => Trouble::Discovery { mode: DiscoveryMode::Silent, span },
                 1 => Trouble::Discovery { mode: DiscoveryMode::Cuts, span },
@@ -427,7 +435,7 @@
         15 | 16 => draw_stop(rng, router),
         17 => Trouble::Crowd { router, count: rng.random_range(CROWD_SIZES), span: span * 2 },
         18 => {
-            // Unread for longer than callers wait, as nothing shows before.
+            // The log stays unread for longer than callers wait, as no effect shows before.
             if rng.random() {
                 Trouble::Log { router, reading: LogReadMode::NotAtAll, span: UNREAD_SPAN_MS }
             } else {
@@ -435,7 +443,7 @@
             }
         }
         19 => {
-            // A FIFO for longer than callers wait, as nothing shows before.
+            // The FIFO stays for longer than callers wait, as no effect shows before.
             if rng.random() {
                 Trouble::Config { router, what: UnreadableConfig::Fifo, span: UNREAD_SPAN_MS }
             } else {
@@ -460,7 +468,7 @@
     }
 }
 
-/// One signal to end, and up to two others before and behind it.
+/// Draws one terminating signal, with up to two reloads before it and up to two signals of any kind after it.
 fn draw_stop(rng: &mut Pcg32, router: usize) -> Trouble {
     let signals = [OperatorSignal::Reload, OperatorSignal::Terminate, OperatorSignal::Interrupt];
     let mut orders = Vec::new();
@@ -478,7 +486,7 @@
     Trouble::Stop { router, orders, span: until_first_end + gap + EARLIEST_KILL_MS }
 }
 
-/// Calls for connections that fail for a moment.
+/// Draws failures of the calls that establish connections.
 fn draw_failing_connects(rng: &mut Pcg32, router: usize, span: u64) -> Trouble {
     let connect_errors = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::NETUNREACH, Errno::TIMEDOUT];
     let socket_errors = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
@@ -488,7 +496,7 @@
         _ => (SystemCall::Poll, &[Errno::INTR, Errno::NOMEM][..]),
     };
     let error = errors[rng.random_range(0..errors.len())];
-    // A poll that is interrupted each time would be made again for good.
+    // Not every call fails: a poll that is always interrupted would be repeated forever.
     let every = rng.random_range(2..6);
     Trouble::Calls { router, call, every, error, span: span / 2 }
 }
