--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -32,6 +32,7 @@
         Self(stream)
     }
 
+    /// Encodes a request for a job of this type with an id and a wait in milliseconds.
     pub fn encode_job(number: u32, class: &str, id: &str, wait: u32, statement: &str) -> Vec<u8> {
         let fields = [("id", id), ("wait", &wait.to_string()), ("cost", "10.5"), ("ram", "16")];
         Self::encode_request(number, class, &fields, statement)
@@ -58,16 +59,19 @@
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 
+    /// Sends a job whose id is its message number.
     pub fn send_job(&mut self, number: u32, class: &str, wait: u32) {
         let message =
             Self::encode_job(number, class, &format!("{number:016x}"), wait, "select 1 from sales_1.x");
         self.0.write_all(&message).unwrap();
     }
 
+    /// Sends an abort of the job with this message number.
     pub fn send_abort(&mut self, number: u8) {
         self.0.write_all(&[&[0x93, 0x02, 0xa5], &b"abort"[..], &[0x91, number]].concat()).unwrap();
     }
 
+    /// Sends a ping and returns whether it is answered with true. Panics if another answer comes first.
     pub fn ping(&mut self, number: u8) -> bool {
         self.0.write_all(&[&[0x94, 0x00, number, 0xa4], &b"ping"[..], &[0x91, 0x80]].concat()).unwrap();
         let (answered, result) = self.receive();
@@ -80,16 +84,16 @@
         let ping = [&[0x94, 0x00, 1, 0xa4], &b"ping"[..], &[0x91, 0x80]].concat();
         let mut answer = [0; 6];
         // The answer begins with [1, 1, nil, [true, ...: the fourth byte is the error, the sixth the result.
-        let whole = self.0.write_all(&ping).and_then(|()| self.0.read_exact(&mut answer));
-        whole.is_ok() && answer == [0x94, 0x01, 0x01, 0xc0, 0x92, 0xc3]
+        let is_complete = self.0.write_all(&ping).and_then(|()| self.0.read_exact(&mut answer));
+        is_complete.is_ok() && answer == [0x94, 0x01, 0x01, 0xc0, 0x92, 0xc3]
     }
 
     /// Counts complete answers until there are `max_answers` or the router closes the connection.
     pub fn count_answers(&mut self, max_answers: u32) -> usize {
         let mut bytes = Vec::new();
         let mut chunk = [0; 16 * 1024];
-        let (mut whole, mut scan, mut scanned) = (0, codec::MessageScanner::default(), 0);
-        while whole < max_answers as usize {
+        let (mut answers, mut scan, mut scanned) = (0, codec::MessageScanner::default(), 0);
+        while answers < max_answers as usize {
             match self.0.read(&mut chunk) {
                 Ok(0) | Err(_) => break,
                 Ok(count) => bytes.extend_from_slice(&chunk[..count]),
@@ -97,13 +101,13 @@
             while let Ok(Some(length)) = codec::message_length(&bytes, &mut scan, &mut scanned) {
                 bytes.drain(..length);
                 (scan, scanned) = (codec::MessageScanner::default(), 0);
-                whole += 1;
+                answers += 1;
                 if bytes.is_empty() {
                     break;
                 }
             }
         }
-        whole
+        answers
     }
 
     /// Whether the router closes the connection. Data that arrives before the close is discarded.
@@ -171,7 +175,7 @@
         }
         bytes.extend_from_slice(&chunk[..count]);
         if let Some(length) =
-            codec::message_length(&bytes, &mut scan, &mut scanned).expect("what can be read")
+            codec::message_length(&bytes, &mut scan, &mut scanned).expect("a well-formed message")
         {
             assert_eq!(length, bytes.len(), "one answer to one job");
             break;
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -59,10 +59,12 @@
     ClusterId::from_name("stand-ins")
 }
 
+/// A trust store with the operator's key of the stand-in clusters.
 pub fn trust_store() -> TrustStore {
     TrustStore::new(cluster_id(), vec![operator_key().public()])
 }
 
+/// An identity with the key of this number and a pass that is valid for a year from `START`.
 pub fn identity(number: u64, name: &str, now: Moment) -> Identity {
     let secret = secret_key(number);
     let pass =
@@ -75,6 +77,7 @@
     Revocation::issue(&operator_key(), &secret_key(number).public(), cluster_id(), START + YEAR)
 }
 
+/// The virtual address of an instance.
 pub fn node_address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7946))
 }
@@ -91,11 +94,11 @@
 
 impl Node {
     fn now(&self, true_now: Moment) -> Moment {
-        let (by, behind) = self.clock;
+        let (deviation, behind) = self.clock;
         if behind {
-            Moment::from_micros(true_now.since(Moment::default()).saturating_sub(by).micros())
+            Moment::from_micros(true_now.since(Moment::default()).saturating_sub(deviation).micros())
         } else {
-            true_now + by
+            true_now + deviation
         }
     }
 }
@@ -111,6 +114,7 @@
     pub condition: Option<EngineCondition>,
 }
 
+/// Gossiping instances, their network and the virtual time.
 pub struct Cluster {
     pub now: Moment,
     pub net: Network,
@@ -133,8 +137,8 @@
 
 impl Cluster {
     /// Creates `count` instances that know only the first three instances, as seeds.
-    pub fn new(seed: u64, count: usize, weather: NetworkConditions, config: GossipConfig) -> Self {
-        let net = Network::new(seed, weather);
+    pub fn new(seed: u64, count: usize, conditions: NetworkConditions, config: GossipConfig) -> Self {
+        let net = Network::new(seed, conditions);
         let (nodes, events, pending_reports, node_by_address) =
             (Vec::new(), Vec::new(), VecDeque::new(), HashMap::new());
         let (deadlines, node_deadlines) = (BTreeSet::new(), Vec::new());
@@ -178,11 +182,12 @@
 
     /// Starts an instance anew; it knows only its key and the seeds.
     pub fn start(&mut self, node: usize) {
-        let own = identity(node as u64, &format!("n{node}"), self.now);
+        let identity = identity(node as u64, &format!("n{node}"), self.now);
         let now = self.nodes[node].now(self.now);
         let seeds = (0..3).map(node_address).collect();
         let seed = self.seed.wrapping_mul(0x9e37_79b9).wrapping_add(node as u64);
-        let core = Gossip::new(now, seed, own, trust_store(), self.nodes[node].address, seeds, self.config);
+        let core =
+            Gossip::new(now, seed, identity, trust_store(), self.nodes[node].address, seeds, self.config);
         self.nodes[node].core = Some(core);
         self.run_actions(node);
     }
@@ -205,6 +210,7 @@
         }
     }
 
+    /// The core of a running instance. Panics if the instance was killed.
     pub fn core(&self, node: usize) -> &Gossip {
         self.nodes[node].core.as_ref().expect("an instance that runs")
     }
@@ -221,11 +227,11 @@
     /// agreement from now on.
     pub fn issue_voter_set(&mut self, epoch: u64, voters: &[usize], accord: woadhook_accord::AccordConfig) {
         for node in 0..self.nodes.len() {
-            let (now, own) = (self.nodes[node].now(self.now), self.core(node).id());
+            let (now, id) = (self.nodes[node].now(self.now), self.core(node).id());
             let seed = self.seed ^ node as u64;
             self.agreements
                 .entry(node)
-                .or_insert_with(|| Agreement::start(now, seed, node as u8, own, accord));
+                .or_insert_with(|| Agreement::start(now, seed, node as u8, id, accord));
         }
         let keys: Vec<[u8; 32]> = voters.iter().map(|voter| secret_key(*voter as u64).public()).collect();
         let voter_set = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("a voter set");
@@ -296,6 +302,7 @@
         true
     }
 
+    /// Runs the cluster for a span of virtual time.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until) {}
@@ -324,9 +331,14 @@
             let Some(action) = core.next_action(now) else { break };
             match action {
                 Action::Send { to, bytes } => self.net.send(true_now, from, to, bytes),
-                Action::PeerReport { engine, reservation_type: of, suspicion } => {
-                    self.pending_reports.push_back((node, engine.clone(), of.clone(), suspicion));
-                    self.nodes[node].peer_reports.insert((engine, of), suspicion);
+                Action::PeerReport { engine, reservation_type, suspicion } => {
+                    self.pending_reports.push_back((
+                        node,
+                        engine.clone(),
+                        reservation_type.clone(),
+                        suspicion,
+                    ));
+                    self.nodes[node].peer_reports.insert((engine, reservation_type), suspicion);
                 }
                 Action::VoterSet { epoch, voters } => {
                     self.voter_sets.push((node, epoch));
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -19,6 +19,7 @@
         StandinServer::start(move |call| events.answer(call))
     }
 
+    /// Adds an event with this number and these members. Event 1 is a complete list, later ones are changes.
     pub fn add(&self, number: u64, members: Vec<Value>) {
         let roster = json!({"revision": number, "complete": number == 1, "members": members});
         self.0.0.lock().unwrap().push(json!({"no": number, "roster": roster}));
@@ -72,6 +73,7 @@
     number.unwrap_or_else(|| panic!("no {name} in a call to discovery: {call:?}"))
 }
 
+/// An engine's entry in the roster of an event.
 pub fn roster_member(id: &str, at: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": at.to_string(), "locality": "a", "flavor": "k", "cell": 0, "phase": phase,
         "size": 1, "up_since_ms": 0})
--- a/crates/standins/src/engines.rs
+++ b/crates/standins/src/engines.rs
@@ -33,6 +33,7 @@
     }
 }
 
+/// What a stand-in does in response to a call. Answers hold the status, the header fields and the body.
 pub enum Response {
     Full(u16, Vec<String>, Vec<u8>),
     /// Answers and closes the connection, without announcing the close.
@@ -54,6 +55,7 @@
     ClosePort(Box<Response>),
 }
 
+/// A complete answer with a status, header fields and a body.
 pub fn response(status: u16, fields: &[&str], body: &str) -> Response {
     Response::Full(status, fields.iter().map(|field| field.to_string()).collect(), body.into())
 }
@@ -97,16 +99,16 @@
                     let mut stream = BufReader::new(stream);
                     while let Some(call) = read_call(&mut stream, connection) {
                         let _ = call_sender.send(call.clone());
-                        let says = answer.lock().unwrap()(&call);
-                        let says = match says {
+                        let response = answer.lock().unwrap()(&call);
+                        let response = match response {
                             Response::EndProcess => return open.close(),
                             Response::ClosePort(then) => {
                                 open.refuse();
                                 *then
                             }
-                            says => says,
+                            response => response,
                         };
-                        if !send_response(stream.get_mut(), says) {
+                        if !send_response(stream.get_mut(), response) {
                             break;
                         }
                     }
@@ -193,6 +195,7 @@
         Self { listener, address, fillers }
     }
 
+    /// Starts to accept connections and serves them.
     pub fn unblock(self, answer: impl FnMut(&Call) -> Response + Send + 'static) -> StandinServer {
         SockRef::from(&self.listener).listen(128).unwrap();
         drop(self.fillers);
@@ -219,12 +222,12 @@
 }
 
 /// Sends a response. Returns whether the connection stays open.
-fn send_response(stream: &mut TcpStream, says: Response) -> bool {
-    if let Response::Delayed(after, then) = says {
+fn send_response(stream: &mut TcpStream, response: Response) -> bool {
+    if let Response::Delayed(after, then) = response {
         thread::sleep(after);
         return send_response(stream, *then);
     }
-    let (status, fields, body, keep_open) = match says {
+    let (status, fields, body, keep_open) = match response {
         Response::Full(status, fields, body) => (status, fields, body, true),
         Response::FullThenClose(status, fields, body) => (status, fields, body, false),
         Response::InPieces(status, fields, body, piece, gap) => {
@@ -236,14 +239,14 @@
             }
             return true;
         }
-        Response::RawThenClose(words) => {
-            let _ = stream.write_all(words.as_bytes());
+        Response::RawThenClose(text) => {
+            let _ = stream.write_all(text.as_bytes());
             return false;
         }
-        Response::RawKeepOpen(words) => return stream.write_all(words.as_bytes()).is_ok(),
+        Response::RawKeepOpen(text) => return stream.write_all(text.as_bytes()).is_ok(),
         Response::CloseConnection | Response::EndProcess => return false,
         Response::NoResponse => return true,
-        Response::Delayed(..) | Response::ClosePort(..) => unreachable!("said above"),
+        Response::Delayed(..) | Response::ClosePort(..) => unreachable!("handled above"),
     };
     stream.write_all(&encode_response(status, &fields, &body)).is_ok() && keep_open
 }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -51,10 +51,10 @@
     /// replaced, and all routers are restarted one after another.
     pub fn draw(seed: u64, routers: usize, engines: usize) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut sample = |of: usize, share: f64| {
-            let mut all: Vec<usize> = (0..of).collect();
+        let mut sample = |count: usize, share: f64| {
+            let mut all: Vec<usize> = (0..count).collect();
             all.shuffle(&mut rng);
-            all.truncate(((of as f64 * share).round() as usize).max(1));
+            all.truncate(((count as f64 * share).round() as usize).max(1));
             all
         };
         let (killed, replaced, all) = (sample(routers, 0.7), sample(engines, 0.4), sample(routers, 1.0));
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -49,6 +49,7 @@
 
 /// Drain grace in the fleet's settings, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 4_000;
+/// Window of the cold engines' budget in the fleet's settings, in milliseconds.
 pub const FALL_MS: u64 = 2_000;
 /// How long a key waits after a load that may still run.
 const TURN_GAP_MS: u64 = 300;
@@ -102,6 +103,7 @@
     }
 }
 
+/// A running fleet.
 pub struct Fleet {
     layout: Layout,
     pub relays: Relays,
@@ -125,14 +127,14 @@
     pub fn start(program: &str, folder: &Path, layout: Layout) -> Self {
         let (observations, relays): (Arc<Mutex<Observations>>, Relays) =
             (Arc::default(), Relays::new(layout.seed));
-        let place = |name: &str, number| {
+        let add_party = |name: &str, number| {
             let (zone, region) = layout.zone(number);
             relays.add_party(name, zone, region);
         };
         for router in 0..layout.routers {
-            ["n", "b", "c"].iter().for_each(|kind| place(&format!("{kind}{router}"), router));
+            ["n", "b", "c"].iter().for_each(|kind| add_party(&format!("{kind}{router}"), router));
         }
-        (0..layout.engines).for_each(|engine| place(&format!("s-{engine}"), engine));
+        (0..layout.engines).for_each(|engine| add_party(&format!("s-{engine}"), engine));
         let engines: Vec<FleetEngine> =
             (0..layout.engines).map(|at| parties::start_engine(at, observations.clone())).collect();
         {
@@ -149,8 +151,12 @@
                 .collect();
             let events = DiscoveryEvents::default();
             events.add(1, members.clone());
-            let feed = start_discovery(events, discovery.clone());
-            let at = relays.relay_address(&format!("n{router}"), &format!("b{router}"), feed.server.address);
+            let router_discovery = start_discovery(events, discovery.clone());
+            let at = relays.relay_address(
+                &format!("n{router}"),
+                &format!("b{router}"),
+                router_discovery.server.address,
+            );
             let mut config: Value =
                 serde_json::from_str(&router_config(&[], at, 512)).expect("a configuration");
             config["known"]["items"][0]["roster"]["members"] = json!(members);
@@ -170,22 +176,27 @@
                 config["settings"]["obligations"]["turnGapUs"] = json!(TURN_GAP_MS * 1000);
             }
             let arguments = gossip.get(router).cloned().unwrap_or_default();
-            let (name, told) = (format!("n{router}"), config.to_string());
+            let (name, config_text) = (format!("n{router}"), config.to_string());
             let preload = layout.failing_system_calls.then(|| Preload::build(folder, &name));
             routers.push(match preload {
                 Some(Ok(preload)) => {
-                    let process =
-                        RouterProcess::start_with_log_pipe(Some(&preload), program, folder, &name, &told);
+                    let process = RouterProcess::start_with_log_pipe(
+                        Some(&preload),
+                        program,
+                        folder,
+                        &name,
+                        &config_text,
+                    );
                     preloads.insert(router, preload);
                     process
                 }
                 Some(Err(error)) => {
                     eprintln!("{error}; these troubles are left out");
-                    RouterProcess::start_with_log_pipe(None, program, folder, &name, &told)
+                    RouterProcess::start_with_log_pipe(None, program, folder, &name, &config_text)
                 }
-                None => RouterProcess::start_with_arguments(program, &arguments, folder, &name, &told),
+                None => RouterProcess::start_with_arguments(program, &arguments, folder, &name, &config_text),
             });
-            discoveries.push(feed);
+            discoveries.push(router_discovery);
         }
         routers.iter().for_each(RouterProcess::wait_until_ready);
         let stopped: Arc<AtomicBool> = Arc::default();
@@ -255,7 +266,7 @@
     }
 
     fn restart_gracefully(&self, router: usize) {
-        self.observations.lock().unwrap().told_to_end.push((router, Instant::now()));
+        self.observations.lock().unwrap().terminated.push((router, Instant::now()));
         let mut process = self.routers[router].lock().unwrap();
         process.signal(Signal::TERM);
         let status = process.wait();
@@ -300,8 +311,8 @@
     /// Closes the old discovery servers of a router that has read the new address.
     fn close_old_discoveries(&self, router: usize) {
         let mut left = self.old_discoveries.lock().unwrap();
-        for (_, feed) in left.extract_if(.., |(of, _)| *of == router) {
-            feed.open.store(false, Ordering::Relaxed);
+        for (_, discovery) in left.extract_if(.., |(of, _)| *of == router) {
+            discovery.open.store(false, Ordering::Relaxed);
         }
     }
 
@@ -335,11 +346,12 @@
     fn announce(&self, engines: &[usize], phase: &str, up_since: u64) {
         let mut number = self.last_event.lock().unwrap();
         *number += 1;
-        let places = self.engines.lock().unwrap();
-        for (router, feed) in self.discoveries.iter().enumerate() {
+        let engine_list = self.engines.lock().unwrap();
+        for (router, discovery) in self.discoveries.iter().enumerate() {
             let (layout, relays) = (&self.layout, &self.relays);
-            let told = |at: &usize| engine_entry(layout, relays, router, *at, &places[*at], phase, up_since);
-            feed.lock().unwrap().events.add(*number, engines.iter().map(told).collect());
+            let entry =
+                |at: &usize| engine_entry(layout, relays, router, *at, &engine_list[*at], phase, up_since);
+            discovery.lock().unwrap().events.add(*number, engines.iter().map(entry).collect());
         }
     }
 
@@ -360,6 +372,7 @@
         self.routers[router].lock().unwrap().signal(signal);
     }
 
+    /// The whole log of a router, across restarts.
     pub fn router_log(&self, router: usize) -> String {
         self.routers[router].lock().unwrap().log_text()
     }
@@ -374,19 +387,23 @@
 
     /// The lines of a router's log that report this event, parsed.
     pub fn log_events(&self, router: usize, event: &str) -> Vec<Value> {
-        let said = self.router_log(router);
-        let lines = said.lines().filter(|line| line.contains(event));
+        let log = self.router_log(router);
+        let lines = log.lines().filter(|line| line.contains(event));
         lines
             .filter_map(|line| serde_json::from_str(line).ok())
-            .filter(|told: &Value| told["event"] == event)
+            .filter(|fields: &Value| fields["event"] == event)
             .collect()
     }
 
     /// Waits until a condition holds; panics with the logs if it does not in time.
-    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
-        let by = Instant::now() + TEST_TIMEOUT + TEST_TIMEOUT;
+    pub fn wait_until(&self, condition: &str, mut holds: impl FnMut(&Self) -> bool) {
+        let deadline = Instant::now() + TEST_TIMEOUT + TEST_TIMEOUT;
         while !holds(self) {
-            assert!(Instant::now() < by, "{what} does not come\n{}", self.merged_logs().join("\n"));
+            assert!(
+                Instant::now() < deadline,
+                "{condition}: not reached in time\n{}",
+                self.merged_logs().join("\n")
+            );
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -394,8 +411,8 @@
     /// The lines of all routers' logs, sorted by time. Lines without a time stay behind the line before them.
     pub fn merged_logs(&self) -> Vec<String> {
         let time = |line: &str| {
-            let told: Option<Value> = serde_json::from_str(line).ok();
-            told.and_then(|told| told["at"].as_str().map(str::to_owned))
+            let fields: Option<Value> = serde_json::from_str(line).ok();
+            fields.and_then(|fields| fields["at"].as_str().map(str::to_owned))
         };
         let mut lines: Vec<(Option<String>, String)> = Vec::new();
         for router in &self.routers {
@@ -437,20 +454,20 @@
         }
         let mut observations = self.observations.lock().unwrap();
         observations.had_ways = self.relays.ever_had_ways();
-        judge::check_all_rules(&observations).map_err(|broken| {
-            let told = broken.jobs.iter().flat_map(|id| self.log_lines_of_job(id));
+        judge::check_all_rules(&observations).map_err(|violation| {
+            let lines = violation.jobs.iter().flat_map(|id| self.log_lines_of_job(id));
             let kills = format!("killed behind the order to end: {:?}", observations.killed_while_ending);
             let rests = format!("the relays stood: {:?}; now: {:?}", self.relays.rests(), Instant::now());
-            format!("{}\n{}\n{kills}\n{rests}", broken.message, told.collect::<Vec<_>>().join("\n"))
+            format!("{}\n{}\n{kills}\n{rests}", violation.message, lines.collect::<Vec<_>>().join("\n"))
         })?;
-        let done = observations.answers.iter().filter(|asked| matches!(asked.result, Ok(true))).count();
+        let done = observations.answers.iter().filter(|job| matches!(job.result, Ok(true))).count();
         let cold =
             observations.arrivals.iter().filter(|post| observations.cold.contains_key(&post.engine)).count();
         Ok(Tally { asked: observations.answers.len(), done, to_cold: cold })
     }
 
     fn wait_for_service(&self) -> Result<(), String> {
-        let (from, by) = (Instant::now(), Instant::now() + TEST_TIMEOUT);
+        let (from, deadline) = (Instant::now(), Instant::now() + TEST_TIMEOUT);
         let serves = |observations: &Observations, router: usize| {
             observations
                 .answers
@@ -459,7 +476,7 @@
         };
         for (router, process) in self.routers.iter().enumerate() {
             while !serves(&self.observations.lock().unwrap(), router) {
-                if Instant::now() > by {
+                if Instant::now() > deadline {
                     return Err(format!("{} does not serve in the end", process.lock().unwrap().name));
                 }
                 thread::sleep(Duration::from_millis(10));
--- a/crates/standins/src/fleet/effects.rs
+++ b/crates/standins/src/fleet/effects.rs
@@ -32,7 +32,7 @@
             }
             Trouble::Kill { router, .. } => self.kill_router(*router),
             Trouble::Restart { router } => {
-                self.observations.lock().unwrap().told_to_end.push((*router, Instant::now()));
+                self.observations.lock().unwrap().terminated.push((*router, Instant::now()));
                 self.signal(*router, Signal::TERM);
             }
             Trouble::Reload { router, times } => return self.reload(*router, *times),
@@ -105,7 +105,7 @@
                 self.relays.redirect(&format!("s-{engine}"), target);
             }
             Trouble::LeaveLoads => self.start_abandoned_loads(),
-            Trouble::Stop { .. } => unreachable!("played on its own"),
+            Trouble::Stop { .. } => unreachable!("run_trouble handles it"),
         }
         true
     }
@@ -157,14 +157,14 @@
 
     /// Waits until a terminated router has ended; other troubles may signal it meanwhile.
     fn wait_for_end(&self, router: usize) {
-        let by = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let mut process = self.routers[router].lock().unwrap();
             if let Some(status) = process.try_wait() {
                 assert!(status.success(), "{} ended with {status}", process.name);
                 return;
             }
-            assert!(Instant::now() < by, "{} did not end", process.name);
+            assert!(Instant::now() < deadline, "{} did not end", process.name);
             drop(process);
             thread::sleep(POLL_INTERVAL);
         }
--- a/crates/standins/src/fleet/gossip.rs
+++ b/crates/standins/src/fleet/gossip.rs
@@ -18,8 +18,8 @@
 /// Writes the operator's voter set, in which the first routers vote.
 pub(super) fn write_voter_set(folder: &Path, epoch: u64, voters: usize) {
     let keys: Vec<[u8; 32]> = (0..voters).map(|router| secret_key(router as u64 + 1).public()).collect();
-    let order = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("an order");
-    fs::write(folder.join("order"), order.to_text()).expect("a file");
+    let voter_set = VoterSet::issue(&operator_key(), cluster_id(), epoch, &keys).expect("a voter set");
+    fs::write(folder.join("order"), voter_set.to_text()).expect("a file");
 }
 
 /// Writes keys, passes and operator files for all routers and relays their datagrams. Returns each router's
@@ -28,8 +28,8 @@
     fs::create_dir_all(folder).expect("a folder");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let (from, until) = (Moment::from_micros(now - 60_000_000), Moment::from_micros(now + 3_600_000_000));
-    let own: Vec<SocketAddr> = (0..layout.routers).map(|_| free_datagram_address()).collect();
-    let known: Vec<SocketAddr> = own
+    let addresses: Vec<SocketAddr> = (0..layout.routers).map(|_| free_datagram_address()).collect();
+    let public_addresses: Vec<SocketAddr> = addresses
         .iter()
         .enumerate()
         .map(|(router, own)| relays.datagram_relay_address(&format!("n{router}"), *own))
@@ -41,13 +41,20 @@
     (0..layout.routers)
         .map(|router| {
             let (key, pass) = (file(format!("n{router}.key")), file(format!("n{router}.pass")));
-            let mine = secret_key(router as u64 + 1);
-            let admitted = Pass::issue(&operator_key(), &format!("n{router}"), mine.public(), cluster_id(), from, until);
-            keyfiles::write_secret(Path::new(&key), &mine).expect("a key file");
-            fs::write(&pass, admitted.expect("a pass").to_text()).expect("a file");
-            let mut section = json!({"cluster": "stand-ins", "listen": own[router].to_string(),
-                "advertise": known[router].to_string(), "seeds": known.iter().take(3).map(SocketAddr::to_string)
-                .collect::<Vec<_>>(), "key": key, "pass": pass, "period_ms": 100,
+            let secret = secret_key(router as u64 + 1);
+            let issued = Pass::issue(
+                &operator_key(),
+                &format!("n{router}"),
+                secret.public(),
+                cluster_id(),
+                from,
+                until,
+            );
+            keyfiles::write_secret(Path::new(&key), &secret).expect("a key file");
+            fs::write(&pass, issued.expect("a pass").to_text()).expect("a file");
+            let mut section = json!({"cluster": "stand-ins", "listen": addresses[router].to_string(),
+                "advertise": public_addresses[router].to_string(),
+                "seeds": public_addresses.iter().take(3).map(SocketAddr::to_string).collect::<Vec<_>>(), "key": key, "pass": pass, "period_ms": 100,
                 "operator_keys": [public_key_to_text(&operator_key().public())]});
             if layout.voters > 0 {
                 section["order"] = json!(file("order".to_owned()));
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/judge.rs
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub(super) struct Observations {
     pub arrivals: Vec<QueryArrival>,
-    pub answers: Vec<AnsweredJob>,
+    pub answers: Vec<JobRecord>,
     /// The queries at engines and how they ended.
     pub queries: Queries,
     /// When the processes of drained engines ended.
@@ -42,7 +42,7 @@
     pub cold: HashMap<usize, Instant>,
     /// When each router was killed, and when it was terminated.
     pub killed: Vec<(usize, Instant)>,
-    pub told_to_end: Vec<(usize, Instant)>,
+    pub terminated: Vec<(usize, Instant)>,
     /// When routers were killed that had been terminated before; such a kill excuses no missing answer.
     pub killed_while_ending: Vec<(usize, Instant)>,
     /// Whether relays delayed bytes between routers and engines, so that arrival times at engines don't show
@@ -64,7 +64,8 @@
     pub time_left: Duration,
 }
 
-pub(super) struct AnsweredJob {
+/// A job that a client sent, and how it was answered.
+pub(super) struct JobRecord {
     pub router: usize,
     pub id: String,
     pub at: Instant,
@@ -98,24 +99,25 @@
 }
 
 impl Violation {
-    fn for_job(job: &str, words: String) -> Self {
-        Self { message: words, jobs: vec![job.to_owned()] }
+    fn for_job(job: &str, message: String) -> Self {
+        Self { message, jobs: vec![job.to_owned()] }
     }
 }
 
 /// Rule 1: each job is answered, unless its router was killed, or was terminated some time before the job
 /// came.
 fn every_job_answered(observations: &Observations) -> Result<(), Violation> {
-    for AnsweredJob { router, id, at, connected_at: since, elapsed, result: got, .. } in
+    for JobRecord { router, id, at, connected_at: since, elapsed, result: got, .. } in
         observations.answers.iter().filter(|job| !job.is_direct)
     {
-        let killed = observations.killed.iter().any(|(of, when)| of == router && when >= since);
+        let killed = observations.killed.iter().any(|(number, when)| number == router && when >= since);
         let past = |when: &Instant| when >= since || at.saturating_duration_since(*when) < ANSWER_LIMIT;
         let ended = |when: &Instant| *at >= *when + ACCEPTING_AFTER_END && past(when);
-        let ended = observations.told_to_end.iter().any(|(of, when)| of == router && ended(when));
+        let ended = observations.terminated.iter().any(|(number, when)| number == router && ended(when));
         if let (Err(error), false, false) = (got, killed, ended) {
-            let words = format!("job {id} at router {router} got no answer, {elapsed:?} behind it: {error}");
-            return Err(Violation::for_job(id, words));
+            let message =
+                format!("job {id} at router {router} got no answer, {elapsed:?} behind it: {error}");
+            return Err(Violation::for_job(id, message));
         }
     }
     Ok(())
@@ -127,10 +129,10 @@
 fn answered_on_open_connections(observations: &Observations) -> Result<(), Violation> {
     for job in observations.answers.iter().filter(|job| job.is_direct) {
         let (Err(error), id) = (&job.result, &job.id) else { continue };
-        let past = |(of, when): &&(usize, Instant)| *of == job.router && *when >= job.connected_at;
-        let told = observations.told_to_end.iter().filter(past).map(|(_, when)| *when).min();
+        let past = |(number, when): &&(usize, Instant)| *number == job.router && *when >= job.connected_at;
+        let terminated = observations.terminated.iter().filter(past).map(|(_, when)| *when).min();
         let forwarded = observations.arrivals.iter().any(|arrival| arrival.id == *id);
-        let in_time = told.is_none_or(|told| job.at <= told + OPEN_CONNECTIONS_AFTER_END);
+        let in_time = terminated.is_none_or(|terminated| job.at <= terminated + OPEN_CONNECTIONS_AFTER_END);
         let crossed = job.elapsed <= CLOSE_CROSSING_LIMIT + SCHEDULING_SLACK;
         // When a crowd uses up the descriptors, idle connections are closed in favour of new ones at any
         // time.
@@ -139,12 +141,12 @@
             continue;
         }
         if forwarded || in_time || !crossed {
-            let behind = told.map(|told| job.at.saturating_duration_since(told));
-            let words = format!(
+            let behind = terminated.map(|terminated| job.at.saturating_duration_since(terminated));
+            let message = format!(
                 "job {id} at router {}, sent {behind:?} behind the order to end, forwarded: {forwarded}, got no answer after {:?}: {error}",
                 job.router, job.elapsed
             );
-            return Err(Violation::for_job(id, words));
+            return Err(Violation::for_job(id, message));
         }
     }
     Ok(())
@@ -166,9 +168,9 @@
 /// Rule 3: no job arrives at an engine after its drain grace.
 fn nothing_sent_after_drain_grace(observations: &Observations) -> Result<(), Violation> {
     let late = observations.arrivals.iter().find(|arrival| {
-        let told = observations.drained.get(&arrival.engine);
-        told.is_some_and(|told| {
-            arrival.at.saturating_duration_since(*told) > Duration::from_millis(DRAIN_GRACE_MS)
+        let announced = observations.drained.get(&arrival.engine);
+        announced.is_some_and(|announced| {
+            arrival.at.saturating_duration_since(*announced) > Duration::from_millis(DRAIN_GRACE_MS)
         })
     });
     late.map_or(Ok(()), |QueryArrival { engine, id, .. }| {
@@ -187,8 +189,8 @@
             .filter(|arrival| arrival.engine == *engine)
             .map(|arrival| arrival.at)
             .collect();
-        for (place, first) in at.iter().enumerate() {
-            let within = at[place..]
+        for (first_index, first) in at.iter().enumerate() {
+            let within = at[first_index..]
                 .iter()
                 .take_while(|at| at.duration_since(*first).as_millis() < u128::from(FALL_MS));
             let count = within.count();
@@ -197,9 +199,9 @@
             let able = START_CAPACITY + (1.0 - START_CAPACITY) * risen;
             let budget = OVERLOAD_FACTOR * able * ENGINE_CORES * FALL_MS as f64 / JOB_COST_MS as f64;
             if count as f64 > budget + budget.sqrt() {
-                let words =
+                let message =
                     format!("{count} jobs in a window at cold engine {engine}, {budget:.1} are its budget");
-                return Err(Violation { message: words, jobs: Vec::new() });
+                return Err(Violation { message, jobs: Vec::new() });
             }
         }
     }
@@ -222,13 +224,14 @@
             .engine_ends
             .get(&before.engine)
             .is_some_and(|engine_ends| *engine_ends <= arrival.at);
-        let between =
-            |(of, when): &(usize, Instant)| *of == router && *when >= before.at && *when <= arrival.at;
+        let between = |(number, when): &(usize, Instant)| {
+            *number == router && *when >= before.at && *when <= arrival.at
+        };
         let kills = observations.killed.iter().chain(&observations.killed_while_ending);
-        let restarted = kills.chain(&observations.told_to_end).any(between);
+        let restarted = kills.chain(&observations.terminated).any(between);
         if ended_at > arrival.at && !engine_ends && !restarted {
             let since = |at: Instant| at.saturating_duration_since(before.at);
-            let words = format!(
+            let message = format!(
                 "load {} of router {router} came to engine {} while {} was out at engine {}: {:?} behind it, which had {:?}, was asked for last at {:?} and was over at {:?} ({end:?}); the engine drained at {:?}",
                 arrival.id,
                 arrival.engine,
@@ -240,7 +243,7 @@
                 since(ended_at),
                 observations.drained.get(&before.engine).map(|at| since(*at)),
             );
-            return Err(Violation { message: words, jobs: vec![before.id.clone(), arrival.id.clone()] });
+            return Err(Violation { message, jobs: vec![before.id.clone(), arrival.id.clone()] });
         }
     }
     Ok(())
@@ -264,17 +267,17 @@
 
 /// The deadline that an engine is given is no longer than the client's remaining time.
 fn deadlines_not_extended(observations: &Observations) -> Result<(), Violation> {
-    let job: HashMap<&str, &AnsweredJob> =
+    let job: HashMap<&str, &JobRecord> =
         observations.answers.iter().map(|job| (job.id.as_str(), job)).collect();
     for arrival in observations.arrivals.iter().filter(|_| !observations.had_ways) {
         let Some(job) = job.get(arrival.id.as_str()) else { continue };
         let left = job.wait.saturating_sub(arrival.at.saturating_duration_since(job.at));
         if arrival.time_left > left + DEADLINE_SLACK + SCHEDULING_SLACK.min(job.wait / 10) {
-            let words = format!(
+            let message = format!(
                 "job {} was sent with {:?}, its client had {left:?}: it began to write at {:?}, took {:?}, and the job came to engine {} at {:?}",
                 arrival.id, arrival.time_left, job.at, job.write_time, arrival.engine, arrival.at
             );
-            return Err(Violation::for_job(&arrival.id, words));
+            return Err(Violation::for_job(&arrival.id, message));
         }
     }
     Ok(())
@@ -295,9 +298,9 @@
 
 /// Rule 1: answers come in time, except at suspended routers and when relays delayed traffic.
 fn answers_in_time(observations: &Observations) -> Result<(), Violation> {
-    let counts = |job: &&AnsweredJob| !observations.had_ways && !observations.paused.contains(&job.router);
+    let counts = |job: &&JobRecord| !observations.had_ways && !observations.paused.contains(&job.router);
     let late =
-        |job: &&AnsweredJob| job.result.is_ok() && job.elapsed > job.wait + ANSWER_SLACK + SCHEDULING_SLACK;
+        |job: &&JobRecord| job.result.is_ok() && job.elapsed > job.wait + ANSWER_SLACK + SCHEDULING_SLACK;
     match observations.answers.iter().filter(counts).find(late) {
         Some(job) => {
             Err(Violation::for_job(&job.id, format!("job {} was answered after {:?}", job.id, job.elapsed)))
--- a/crates/standins/src/fleet/overlap.rs
+++ b/crates/standins/src/fleet/overlap.rs
@@ -151,12 +151,13 @@
         self.outcome.lock().unwrap().skipped.insert(trouble.kind());
     }
 
-    pub fn record_late(&self, trouble: &Trouble, what: &str, due: Instant) {
+    /// Records a step that came later than `MAX_STEP_DELAY` after it was due.
+    pub fn record_late(&self, trouble: &Trouble, step: &str, due: Instant) {
         let late = Instant::now().saturating_duration_since(due);
         if late > MAX_STEP_DELAY {
             let at = due.saturating_duration_since(self.start);
-            let words = format!("{trouble:?} {what} {late:?} late, at {at:?}");
-            self.outcome.lock().unwrap().late_steps.push(words);
+            let description = format!("{trouble:?} {step} {late:?} late, at {at:?}");
+            self.outcome.lock().unwrap().late_steps.push(description);
         }
     }
 }
--- a/crates/standins/src/fleet/parties.rs
+++ b/crates/standins/src/fleet/parties.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::judge::{
-    AnsweredJob, CALLER_DIGITS, CLOSE_CROSSING_LIMIT, Observations, QueryArrival, caller_of, is_load,
+    CALLER_DIGITS, CLOSE_CROSSING_LIMIT, JobRecord, Observations, QueryArrival, caller_of, is_load,
 };
 use super::queries::{QueryEnd, QueryStatus};
 use super::{ANSWER_LIMIT, CLIENT_WAIT_MS, JOB_COST_MS, Layout};
@@ -40,6 +40,7 @@
 /// A deadline that leaves hardly any time, in milliseconds.
 const TINY_DEADLINE_MS: u32 = 15;
 
+/// An engine of the fleet.
 pub(super) struct FleetEngine {
     pub engine: StandinServer,
     pub mode: Arc<Mutex<EngineMode>>,
@@ -154,22 +155,25 @@
 /// Starts a discovery server with these events; all servers of a fleet share the mode.
 pub(super) fn start_discovery(events: DiscoveryEvents, mode: Arc<Mutex<DiscoveryMode>>) -> RouterDiscovery {
     let open = Arc::new(AtomicBool::new(true));
-    let (told, all) = (open.clone(), events.clone());
+    let (is_open, all_events) = (open.clone(), events.clone());
     let server = StandinServer::start(move |call: &Call| {
         let current_mode = *mode.lock().unwrap();
-        if !told.load(Ordering::Relaxed) || current_mode == DiscoveryMode::Cuts {
+        if !is_open.load(Ordering::Relaxed) || current_mode == DiscoveryMode::Cuts {
             return Response::CloseConnection;
         }
         match current_mode {
             DiscoveryMode::Silent => return Response::NoResponse,
             // A delayed answer does not also wait for new events.
             DiscoveryMode::Late(millis) => {
-                return Response::Delayed(Duration::from_millis(millis), Box::new(all.answer_at_once(call)));
+                return Response::Delayed(
+                    Duration::from_millis(millis),
+                    Box::new(all_events.answer_at_once(call)),
+                );
             }
             DiscoveryMode::Well | DiscoveryMode::Cuts => {}
         }
-        let answer = all.answer(call);
-        if told.load(Ordering::Relaxed) { answer } else { Response::CloseConnection }
+        let answer = all_events.answer(call);
+        if is_open.load(Ordering::Relaxed) { answer } else { Response::CloseConnection }
     });
     RouterDiscovery { events, open, server }
 }
@@ -205,25 +209,25 @@
         let id = resent_id.take().unwrap_or_else(|| job_id(caller.number, count));
         let text = format!("select 1 from sales_{}.x", count % 7);
         let class = if id.starts_with('f') { "load" } else { "look" };
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let sent = stream.write_all(&request(number, class, &id, CLIENT_WAIT_MS, &text));
-        let write_time = asked.elapsed();
+        let write_time = sent_at.elapsed();
         let result = sent.and_then(|()| receive_answer(stream, number));
         let (router, wait, elapsed) =
-            (caller.router, Duration::from_millis(CLIENT_WAIT_MS.into()), asked.elapsed());
+            (caller.router, Duration::from_millis(CLIENT_WAIT_MS.into()), sent_at.elapsed());
         if result.is_err() {
             connection = None;
             let is_crowded =
-                observations.lock().unwrap().crowded_until.get(&router).is_some_and(|until| asked < *until);
+                observations.lock().unwrap().crowded_until.get(&router).is_some_and(|until| sent_at < *until);
             if is_crowded && !is_resent && elapsed <= CLOSE_CROSSING_LIMIT {
                 resent_id = Some(id);
                 continue;
             }
         }
         let is_direct = false;
-        let asked =
-            AnsweredJob { router, id, at: asked, wait, elapsed, write_time, connected_at, result, is_direct };
-        observations.lock().unwrap().answers.push(asked);
+        let record =
+            JobRecord { router, id, at: sent_at, wait, elapsed, write_time, connected_at, result, is_direct };
+        observations.lock().unwrap().answers.push(record);
         thread::sleep(caller.pause);
     }
 }
@@ -292,28 +296,28 @@
 }
 
 /// Runs a client that sends one request after another directly to the router over its own connection, until
-/// the router closes it. A client that is not connected by `by` gives up.
+/// the router closes it. A client not connected by the deadline gives up.
 pub(super) fn run_staying_client(
-    router: usize, at: SocketAddr, number: u64, observations: &Mutex<Observations>, by: Instant,
+    router: usize, at: SocketAddr, number: u64, observations: &Mutex<Observations>, deadline: Instant,
 ) {
     let connected_at = Instant::now();
-    let mut connection = connect(at).filter(|_| Instant::now() < by);
+    let mut connection = connect(at).filter(|_| Instant::now() < deadline);
     let mut count = 0;
     while let Some(stream) = &mut connection {
         count += 1;
         let id = format!("d{number:07x}{count:08x}");
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let sent = stream.write_all(&request(count, "look", &id, STAYING_WAIT_MS, "select 1 from sales_2.x"));
-        let write_time = asked.elapsed();
+        let write_time = sent_at.elapsed();
         let result = sent.and_then(|()| receive_answer(stream, count));
         if result.is_err() {
             connection = None;
         }
-        let (wait, elapsed) = (Duration::from_millis(STAYING_WAIT_MS.into()), asked.elapsed());
-        let asked = AnsweredJob {
+        let (wait, elapsed) = (Duration::from_millis(STAYING_WAIT_MS.into()), sent_at.elapsed());
+        let record = JobRecord {
             router,
             id,
-            at: asked,
+            at: sent_at,
             wait,
             elapsed,
             write_time,
@@ -321,7 +325,7 @@
             result,
             is_direct: true,
         };
-        observations.lock().unwrap().answers.push(asked);
+        observations.lock().unwrap().answers.push(record);
         thread::sleep(STAYING_PAUSE);
     }
 }
--- a/crates/standins/src/fleet/queries.rs
+++ b/crates/standins/src/fleet/queries.rs
@@ -97,6 +97,7 @@
         }
     }
 
+    /// The query of a job at an engine.
     pub fn get(&self, engine: usize, id: &str) -> Option<&Query> {
         self.0.get(&(engine, id.to_owned()))
     }
--- a/crates/standins/src/fleet/stops.rs
+++ b/crates/standins/src/fleet/stops.rs
@@ -20,25 +20,25 @@
 impl PlanRun<'_> {
     /// Lets clients connect, sends the signals, then kills the router at the earliest time that the protocol
     /// document allows, whatever the router does meanwhile. Most routers have ended by themselves by then.
-    pub(super) fn run_stop(&self, router: usize, orders: &[TimedSignal], begun: Instant, starter: &Starter) {
-        let trouble = Trouble::Stop { router, orders: orders.to_vec(), span: 0 };
+    pub(super) fn run_stop(&self, router: usize, signals: &[TimedSignal], begun: Instant, starter: &Starter) {
+        let trouble = Trouble::Stop { router, orders: signals.to_vec(), span: 0 };
         let Some(process) = self.fleet.process_id(router) else { return };
         let mut due = begun + CONNECT_TIME;
         self.fleet.start_staying_clients(router, due);
         let mut first_to_end = None;
-        for (gap, order) in orders {
+        for (gap, signal) in signals {
             due += Duration::from_millis(*gap);
             sleep_until(due);
             self.record_late(&trouble, "gave an order", due);
             let sent = Instant::now();
-            if *order != OperatorSignal::Reload && first_to_end.is_none() {
+            if *signal != OperatorSignal::Reload && first_to_end.is_none() {
                 first_to_end = Some(sent);
-                self.fleet.observations.lock().unwrap().told_to_end.push((router, sent));
+                self.fleet.observations.lock().unwrap().terminated.push((router, sent));
             }
-            self.fleet.routers[router].lock().unwrap().signal_if(process, signal_of(*order));
+            self.fleet.routers[router].lock().unwrap().signal_if(process, signal_of(*signal));
         }
-        let Some(told) = first_to_end else { return };
-        let due = told + Duration::from_millis(EARLIEST_KILL_MS);
+        let Some(terminated_at) = first_to_end else { return };
+        let due = terminated_at + Duration::from_millis(EARLIEST_KILL_MS);
         sleep_until(due);
         self.record_late(&trouble, "killed", due);
         self.fleet.kill_while_ending(router);
@@ -46,8 +46,8 @@
     }
 }
 
-fn signal_of(order: OperatorSignal) -> Signal {
-    match order {
+fn signal_of(signal: OperatorSignal) -> Signal {
+    match signal {
         OperatorSignal::Reload => Signal::HUP,
         OperatorSignal::Terminate => Signal::TERM,
         OperatorSignal::Interrupt => Signal::INT,
@@ -59,13 +59,13 @@
         self.routers[router].lock().unwrap().id()
     }
 
-    /// Starts clients that keep their connections; one that is not connected by `by` gives up.
-    fn start_staying_clients(&self, router: usize, by: Instant) {
+    /// Starts clients that keep their connections; one that is not connected by the deadline gives up.
+    fn start_staying_clients(&self, router: usize, deadline: Instant) {
         let at = self.routers[router].lock().unwrap().address;
         for _ in 0..STAYING_CLIENTS {
             let number = NEXT_STAYING_CLIENT.fetch_add(1, Ordering::Relaxed);
             let observations = self.observations.clone();
-            thread::spawn(move || parties::run_staying_client(router, at, number, &observations, by));
+            thread::spawn(move || parties::run_staying_client(router, at, number, &observations, deadline));
         }
     }
 
--- a/crates/standins/src/folders.rs
+++ b/crates/standins/src/folders.rs
@@ -7,8 +7,8 @@
 
 /// Returns the path of a folder below `base` that belongs to this process and this test; it does not exist
 /// yet. Folders of processes that have ended are removed.
-pub fn run_folder(base: &str, story: &str) -> PathBuf {
-    let prefix = format!("{story}-");
+pub fn run_folder(base: &str, test: &str) -> PathBuf {
+    let prefix = format!("{test}-");
     for entry in fs::read_dir(base).into_iter().flatten().flatten() {
         let name = entry.file_name();
         let run = name.to_str().and_then(|name| name.strip_prefix(&prefix)?.parse::<u32>().ok());
--- a/crates/standins/src/lightweight/discovery.rs
+++ b/crates/standins/src/lightweight/discovery.rs
@@ -28,9 +28,9 @@
         let recorder = record.clone();
         let server = StandinServer::start(move |call| {
             recorder.lock().unwrap().record_call(call);
-            let says = events.answer(call);
-            recorder.lock().unwrap().record_answer(&says);
-            says
+            let response = events.answer(call);
+            recorder.lock().unwrap().record_answer(&response);
+            response
         });
         Self { address: server.address, record, _server: server }
     }
@@ -58,8 +58,8 @@
         }
     }
 
-    fn record_answer(&mut self, says: &Response) {
-        if let Response::Full(status, fields, body) = says {
+    fn record_answer(&mut self, response: &Response) {
+        if let Response::Full(status, fields, body) = response {
             self.sent_bytes += encode_response(*status, fields, body).len() as u64;
         }
     }
--- a/crates/standins/src/lightweight/engines.rs
+++ b/crates/standins/src/lightweight/engines.rs
@@ -162,8 +162,8 @@
 fn complete_call_length(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END)? + HEAD_END.len();
     let text = str::from_utf8(&bytes[..head]).ok()?;
-    let told = text.lines().find_map(|line| line.strip_prefix("Content-Length: "));
-    let length = head + told.and_then(|told| told.parse().ok()).unwrap_or(0);
+    let header = text.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+    let length = head + header.and_then(|header| header.parse().ok()).unwrap_or(0);
     (bytes.len() >= length).then_some(length)
 }
 
--- a/crates/standins/src/log_reader.rs
+++ b/crates/standins/src/log_reader.rs
@@ -35,6 +35,7 @@
         self.thread = Some(thread::spawn(move || copy_log(from, to, &reading)));
     }
 
+    /// Changes how the log is read.
     pub fn set(&self, reading: LogReadMode) {
         self.reading.store(reading as u8, Ordering::SeqCst);
     }
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -18,15 +18,18 @@
 }
 
 impl NetworkConditions {
+    /// No loss or duplication and delays of up to 2 ms.
     pub fn reliable() -> Self {
         Self { loss: 0.0, duplication: 0.0, delay: (Span::from_micros(200), Span::from_micros(2_000)) }
     }
 
+    /// Heavy loss, duplication and reordering.
     pub fn unreliable() -> Self {
         Self { loss: 0.3, duplication: 0.2, delay: (Span::from_micros(200), Span::from_micros(80_000)) }
     }
 }
 
+/// The datagrams in flight and the conditions that apply to new ones.
 pub struct Network {
     rng: Pcg32,
     pub conditions: NetworkConditions,
@@ -39,11 +42,11 @@
 }
 
 impl Network {
-    pub fn new(seed: u64, weather: NetworkConditions) -> Self {
+    pub fn new(seed: u64, conditions: NetworkConditions) -> Self {
         let (partitions, extra_delays, in_flight) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
             rng: Pcg32::seed_from_u64(seed),
-            conditions: weather,
+            conditions,
             partitions,
             extra_delays,
             in_flight,
@@ -53,27 +56,30 @@
 
     /// Moves an address to a partition; it then reaches only addresses of the same partition. All others are
     /// in partition 0.
-    pub fn set_partition(&mut self, place: SocketAddr, side: u8) {
-        self.partitions.insert(place, side);
+    pub fn set_partition(&mut self, address: SocketAddr, partition: u8) {
+        self.partitions.insert(address, partition);
     }
 
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.partitions.clear();
     }
 
-    pub fn add_delay(&mut self, place: SocketAddr, by: Span) {
-        self.extra_delays.insert(place, by);
+    /// Sets an additional delay for all datagrams that an address sends.
+    pub fn add_delay(&mut self, address: SocketAddr, delay: Span) {
+        self.extra_delays.insert(address, delay);
     }
 
+    /// Sends a datagram, which is lost, delayed or duplicated as the conditions say.
     pub fn send(&mut self, now: Moment, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        let NetworkConditions { loss, duplication: twice, delay: (least, most) } = self.conditions;
-        let side = |place| self.partitions.get(&place).copied().unwrap_or(0);
-        if side(from) != side(to) || self.rng.random_bool(loss) {
+        let NetworkConditions { loss, duplication, delay: (min_delay, max_delay) } = self.conditions;
+        let partition = |address| self.partitions.get(&address).copied().unwrap_or(0);
+        if partition(from) != partition(to) || self.rng.random_bool(loss) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(twice));
+        let copies = 1 + usize::from(self.rng.random_bool(duplication));
         for _ in 0..copies {
-            let delay = least + most.saturating_sub(least).mul_f64(self.rng.random::<f64>());
+            let delay = min_delay + max_delay.saturating_sub(min_delay).mul_f64(self.rng.random::<f64>());
             let extra_delay = self.extra_delays.get(&from).copied().unwrap_or_default();
             self.sent_copies += 1;
             self.in_flight.insert((now + delay + extra_delay, self.sent_copies), (from, to, bytes.clone()));
--- a/crates/standins/src/preload.rs
+++ b/crates/standins/src/preload.rs
@@ -39,7 +39,7 @@
 
 impl fmt::Display for BuildError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "no library of faults can be built: {}", self.0)
+        write!(out, "the fault library can't be built: {}", self.0)
     }
 }
 
@@ -89,25 +89,25 @@
     }
 
     /// Sets the process's wall clock this far ahead, or behind if `back` is set, from now on.
-    pub fn step_clock(&self, step: Duration, back: bool) {
-        let micros = i64::try_from(step.as_micros()).expect("less than an age");
-        self.set(CLOCK_STEP_SLOT, if back { -micros } else { micros });
+    pub fn step_clock(&self, step: Duration, backwards: bool) {
+        let micros = i64::try_from(step.as_micros()).expect("a step that fits into 64 bits");
+        self.set(CLOCK_STEP_SLOT, if backwards { -micros } else { micros });
     }
 
     /// How many such calls failed because of this library.
     pub fn failure_count(&self, call: SystemCall) -> u64 {
         let mut bytes = [0; 8];
         let at = (FIRST_FAILURE_COUNT_SLOT + call as usize) as u64 * 8;
-        self.file.read_exact_at(&mut bytes, at).expect("the file of faults");
+        self.file.read_exact_at(&mut bytes, at).expect("the fault file");
         u64::from_ne_bytes(bytes)
     }
 
     /// Turns all faults off; the failure counts remain.
     pub fn clear(&self) {
-        self.file.write_all_at(&[0; FIRST_FAILURE_COUNT_SLOT * 8], 0).expect("the file of faults");
+        self.file.write_all_at(&[0; FIRST_FAILURE_COUNT_SLOT * 8], 0).expect("the fault file");
     }
 
     fn set(&self, slot: usize, value: i64) {
-        self.file.write_all_at(&value.to_ne_bytes(), slot as u64 * 8).expect("the file of faults");
+        self.file.write_all_at(&value.to_ne_bytes(), slot as u64 * 8).expect("the fault file");
     }
 }
--- a/crates/standins/src/processes.rs
+++ b/crates/standins/src/processes.rs
@@ -117,6 +117,7 @@
         process
     }
 
+    /// Writes the configuration of a process that is not started yet.
     fn new_stopped(
         environment: Vec<(String, String)>, level: &str, program: &str, arguments: &[String], folder: &Path,
         name: &str, config: &str,
@@ -199,6 +200,7 @@
         *self.config_replacement.lock().unwrap() = Some(replacement);
     }
 
+    /// Writes the configuration back if its file was replaced.
     pub fn restore_config(&self) {
         if self.config_replacement.lock().unwrap().take().is_some() {
             self.write_config();
--- a/crates/standins/src/relays.rs
+++ b/crates/standins/src/relays.rs
@@ -97,7 +97,7 @@
 }
 
 impl ConnectionRelay {
-    fn block(&mut self, cut: bool, filler_ports: &mut BTreeSet<(u16, u16)>) {
+    fn apply_cut(&mut self, cut: bool, filler_ports: &mut BTreeSet<(u16, u16)>) {
         if cut != self.fillers.is_empty() || self.refuses.load(Ordering::SeqCst) {
             return;
         }
@@ -117,7 +117,7 @@
 }
 
 struct State {
-    places: BTreeMap<String, Location>,
+    locations: BTreeMap<String, Location>,
     /// The conditions in force. The latest matching entry applies.
     ways: Vec<(EndpointSet, EndpointSet, Way)>,
     /// Whether any condition was ever set.
@@ -137,8 +137,8 @@
 
 #[derive(Default)]
 struct ResetRequest {
-    is: AtomicBool,
-    told: Event,
+    requested: AtomicBool,
+    notified: Event,
 }
 
 struct Shared {
@@ -156,7 +156,7 @@
 impl Relays {
     pub fn new(seed: u64) -> Self {
         let state = State {
-            places: BTreeMap::new(),
+            locations: BTreeMap::new(),
             ways: Vec::new(),
             ever_had_ways: false,
             rng: Pcg32::seed_from_u64(seed),
@@ -178,8 +178,8 @@
 
     /// Registers a party with its zone and region.
     pub fn add_party(&self, name: &str, zone: &str, region: &str) {
-        let place = Location { zone: zone.to_owned(), region: region.to_owned() };
-        self.shared.state.lock().unwrap().places.insert(name.to_owned(), place);
+        let location = Location { zone: zone.to_owned(), region: region.to_owned() };
+        self.shared.state.lock().unwrap().locations.insert(name.to_owned(), location);
     }
 
     /// Returns an address at which `from` reaches `to`, which listens at `target`.
@@ -188,7 +188,7 @@
         let address = listener.get_ref().local_addr().expect("an address");
         let (accepts, refuses) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let target = Arc::new(Mutex::new(target));
-        let passage = ConnectionRelay {
+        let relay = ConnectionRelay {
             from: from.into(),
             to: to.into(),
             listener: listener.clone(),
@@ -197,7 +197,7 @@
             refuses: refuses.clone(),
             fillers: Vec::new(),
         };
-        self.shared.state.lock().unwrap().connection_relays.push(passage);
+        self.shared.state.lock().unwrap().connection_relays.push(relay);
         self.shared.update_listeners();
         let (shared, weak) = (self.shared.clone(), Arc::downgrade(&self.executor));
         let (from, to) = (from.to_owned(), to.to_owned());
@@ -280,8 +280,8 @@
     pub fn remove_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut state = self.shared.state.lock().unwrap();
         for way in ways {
-            if let Some(place) = state.ways.iter().rposition(|ways| *ways == way) {
-                state.ways.remove(place);
+            if let Some(index) = state.ways.iter().rposition(|set| *set == way) {
+                state.ways.remove(index);
             }
         }
         drop(state);
@@ -297,9 +297,9 @@
     /// Refuses new connections to this party from now on. Open connections stay open.
     pub fn refuse_connections(&self, party: &str) {
         let mut state = self.shared.state.lock().unwrap();
-        for passage in state.connection_relays.iter_mut().filter(|passage| passage.to == party) {
-            passage.refuses.store(true, Ordering::SeqCst);
-            let _ = SockRef::from(passage.listener.get_ref()).shutdown(std::net::Shutdown::Both);
+        for relay in state.connection_relays.iter_mut().filter(|relay| relay.to == party) {
+            relay.refuses.store(true, Ordering::SeqCst);
+            let _ = SockRef::from(relay.listener.get_ref()).shutdown(std::net::Shutdown::Both);
         }
         drop(state);
         self.shared.changed.notify(usize::MAX);
@@ -309,8 +309,8 @@
     /// stay as they are.
     pub fn redirect(&self, party: &str, target: SocketAddr) {
         let state = self.shared.state.lock().unwrap();
-        for passage in state.connection_relays.iter().filter(|passage| passage.to == party) {
-            *passage.target.lock().unwrap() = target;
+        for relay in state.connection_relays.iter().filter(|relay| relay.to == party) {
+            *relay.target.lock().unwrap() = target;
         }
     }
 
@@ -328,23 +328,25 @@
     /// Resets the open connections from one set of endpoints to another. Returns their number.
     pub fn reset(&self, from: &EndpointSet, to: &EndpointSet) -> usize {
         let state = self.shared.state.lock().unwrap();
-        let hit = state.connections.values().filter(|(a, b, _)| state.is_in(a, from) && state.is_in(b, to));
-        hit.map(|(.., reset_request)| {
-            reset_request.is.store(true, Ordering::Relaxed);
-            reset_request.told.notify(usize::MAX);
-        })
-        .count()
+        let matching =
+            state.connections.values().filter(|(a, b, _)| state.is_in(a, from) && state.is_in(b, to));
+        matching
+            .map(|(.., reset_request)| {
+                reset_request.requested.store(true, Ordering::Relaxed);
+                reset_request.notified.notify(usize::MAX);
+            })
+            .count()
     }
 }
 
 impl State {
     fn is_in(&self, name: &str, side: &EndpointSet) -> bool {
-        let place = self.places.get(name);
+        let location = self.locations.get(name);
         match side {
             EndpointSet::All => true,
             EndpointSet::Party(party) => party == name,
-            EndpointSet::Zone(zone) => place.is_some_and(|place| place.zone == *zone),
-            EndpointSet::Region(region) => place.is_some_and(|place| place.region == *region),
+            EndpointSet::Zone(zone) => location.is_some_and(|location| location.zone == *zone),
+            EndpointSet::Region(region) => location.is_some_and(|location| location.region == *region),
         }
     }
 
@@ -354,8 +356,8 @@
     }
 
     fn delay(&mut self, way: &Way) -> Duration {
-        let (least, most) = way.delay;
-        let drawn = least as f64 + most.saturating_sub(least) as f64 * self.rng.random::<f64>();
+        let (min_delay, max_delay) = way.delay;
+        let drawn = min_delay as f64 + max_delay.saturating_sub(min_delay) as f64 * self.rng.random::<f64>();
         Duration::from_secs_f64(drawn / 1e3)
     }
 
@@ -391,21 +393,21 @@
     /// if the other end were unreachable.
     fn update_listeners(&self) {
         self.changed.notify(usize::MAX);
-        let by = Instant::now() + Duration::from_secs(5);
+        let deadline = Instant::now() + Duration::from_secs(5);
         loop {
             let mut state = self.state.lock().unwrap();
             let cuts: Vec<bool> =
                 state.connection_relays.iter().map(|p| state.is_cut(&p.from, &p.to)).collect();
-            let still =
-                |(passage, cut): (&ConnectionRelay, &bool)| *cut && passage.accepts.load(Ordering::SeqCst);
-            if state.connection_relays.iter().zip(&cuts).any(still) && Instant::now() < by {
+            let still_accepts =
+                |(relay, cut): (&ConnectionRelay, &bool)| *cut && relay.accepts.load(Ordering::SeqCst);
+            if state.connection_relays.iter().zip(&cuts).any(still_accepts) && Instant::now() < deadline {
                 drop(state);
                 thread::sleep(Duration::from_millis(1));
                 continue;
             }
             let State { connection_relays, filler_ports, .. } = &mut *state;
-            for (passage, cut) in connection_relays.iter_mut().zip(cuts) {
-                passage.block(cut, filler_ports);
+            for (relay, cut) in connection_relays.iter_mut().zip(cuts) {
+                relay.apply_cut(cut, filler_ports);
             }
             break;
         }
@@ -414,7 +416,7 @@
 
     /// Waits as long as this many bytes take in one direction.
     async fn wait_to_pass(&self, from: &str, to: &str, bytes: usize) {
-        let mut under_way = false;
+        let mut has_waited = false;
         loop {
             let changed = self.changed.listen();
             let (way, delay) = {
@@ -424,16 +426,16 @@
             };
             if way.cut {
                 changed.await;
-                under_way = false;
-            } else if under_way {
+                has_waited = false;
+            } else if has_waited {
                 return;
             } else {
-                let slow = way.bytes_per_s.map_or(0.0, |rate| bytes as f64 / rate.max(1) as f64);
-                let wait = delay + Duration::from_secs_f64(slow);
+                let transfer_time = way.bytes_per_s.map_or(0.0, |rate| bytes as f64 / rate.max(1) as f64);
+                let wait = delay + Duration::from_secs_f64(transfer_time);
                 if !wait.is_zero() {
                     Timer::after(wait).await;
                 }
-                under_way = true;
+                has_waited = true;
             }
         }
     }
@@ -472,21 +474,21 @@
         Async::<TcpStream>::connect(target).await
     };
     let reset = async {
-        while !reset_request.is.load(Ordering::Relaxed) {
-            let told = reset_request.told.listen();
-            if reset_request.is.load(Ordering::Relaxed) {
+        while !reset_request.requested.load(Ordering::Relaxed) {
+            let notified = reset_request.notified.listen();
+            if reset_request.requested.load(Ordering::Relaxed) {
                 break;
             }
-            told.await;
+            notified.await;
         }
         Err(io::ErrorKind::ConnectionReset.into())
     };
     let carried = async {
         let server = connected.await?;
         let _ = (client.get_ref().set_nodelay(true), server.get_ref().set_nodelay(true));
-        let there = pump(shared, from, to, &client, &server);
-        let back = pump(shared, to, from, &server, &client);
-        let ended = futures_lite::future::try_zip(there, back).await;
+        let outbound = pump(shared, from, to, &client, &server);
+        let inbound = pump(shared, to, from, &server, &client);
+        let ended = futures_lite::future::try_zip(outbound, inbound).await;
         if ended.is_err() {
             reset_on_close(&server);
         }
--- a/crates/standins/src/routers.rs
+++ b/crates/standins/src/routers.rs
@@ -56,6 +56,7 @@
         Self::start(engines, DiscoveryEvents::default().serve().address)
     }
 
+    /// Starts a router with this configuration.
     pub fn start_with_config(config: &str) -> Self {
         Self::start_with_gossip(config, None)
     }
@@ -88,6 +89,7 @@
         Self { address, commands, ended }
     }
 
+    /// Waits until the router ends. Panics if it does not in time or ends with an error.
     pub fn expect_clean_end(&self) {
         assert_eq!(self.ended.recv_timeout(TEST_TIMEOUT), Ok(Ok(())));
     }
--- a/crates/standins/src/simulation.rs
+++ b/crates/standins/src/simulation.rs
@@ -55,7 +55,7 @@
 }
 
 struct Job {
-    kind: usize,
+    job_type: usize,
     arrived: Moment,
     answers: Vec<(Moment, Answer)>,
     dispatches: usize,
@@ -69,7 +69,7 @@
     jobs: Vec<Job>,
     /// Outstanding dispatches by job and dispatch number: the engine, and when it was sent.
     outstanding: BTreeMap<(usize, usize), (usize, Moment)>,
-    wake: Option<Moment>,
+    next_wake: Option<Moment>,
     /// Number of jobs that arrived. The decision module's job indices are positions in `jobs`.
     arrivals: u64,
 }
@@ -84,6 +84,7 @@
     EngineChanges { engine: usize, state: EngineState },
 }
 
+/// The simulated routers, engines and their common clock.
 pub struct Simulation {
     pub cluster: Cluster,
     pub engines: Vec<Engine>,
@@ -91,7 +92,7 @@
     gossip: bool,
     rng: Pcg32,
     queue: BTreeMap<(Moment, u64), SimulationEvent>,
-    count: u64,
+    sequence: u64,
     /// Every so many jobs one is a load, which is run-once.
     pub load_interval: u64,
 }
@@ -121,7 +122,7 @@
                 );
             }
             let (jobs, outstanding) = (Vec::new(), BTreeMap::new());
-            SimulatedRouter { instance, rate: *rate, jobs, outstanding, wake: None, arrivals: 0 }
+            SimulatedRouter { instance, rate: *rate, jobs, outstanding, next_wake: None, arrivals: 0 }
         });
         let sim_routers = sim_routers.collect();
         let list: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -142,18 +143,18 @@
             gossip,
             rng,
             queue: BTreeMap::new(),
-            count: 0,
+            sequence: 0,
             load_interval: 20,
         };
         for router in 0..rates.len() {
-            new.next_arrival(router);
+            new.schedule_next_arrival(router);
         }
         new
     }
 
     fn schedule(&mut self, at: Moment, event: SimulationEvent) {
-        self.count += 1;
-        self.queue.insert((at, self.count), event);
+        self.sequence += 1;
+        self.queue.insert((at, self.sequence), event);
     }
 
     pub fn now(&self) -> Moment {
@@ -173,15 +174,15 @@
     }
 
     /// Passes a peer report to a router as if it came from any member.
-    pub fn peer_report(&mut self, router: usize, engine: usize, type_name: Option<usize>, suspicion: f64) {
+    pub fn peer_report(&mut self, router: usize, engine: usize, job_type: Option<usize>, suspicion: f64) {
         let now = self.now();
         if let Some(id) = self.id(router, engine) {
-            self.sim_routers[router].instance.router.peer_reported(now, id, type_name.map(TypeId), suspicion);
+            self.sim_routers[router].instance.router.peer_reported(now, id, job_type.map(TypeId), suspicion);
             self.run_decisions(router);
         }
     }
 
-    fn next_arrival(&mut self, router: usize) {
+    fn schedule_next_arrival(&mut self, router: usize) {
         let rate = self.sim_routers[router].rate;
         if rate > 0.0 {
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate;
@@ -189,6 +190,7 @@
         }
     }
 
+    /// Runs the simulation for a span of virtual time.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now() + span;
         loop {
@@ -216,9 +218,15 @@
             }
             let now = self.now();
             let instance = &mut self.sim_routers[router].instance;
-            let kind = type_name.map(|type_name| instance.types.iter().position(|known| *known == type_name));
-            if let (Some(engine), false) = (instance.engines.get(&engine), kind == Some(None)) {
-                instance.router.peer_reported(now, EngineId(engine), kind.flatten().map(TypeId), suspicion);
+            let job_type =
+                type_name.map(|type_name| instance.types.iter().position(|known| *known == type_name));
+            if let (Some(engine), false) = (instance.engines.get(&engine), job_type == Some(None)) {
+                instance.router.peer_reported(
+                    now,
+                    EngineId(engine),
+                    job_type.flatten().map(TypeId),
+                    suspicion,
+                );
             }
             self.run_decisions(router);
         }
@@ -235,22 +243,22 @@
         let now = self.now();
         match event {
             SimulationEvent::JobArrives { router } => {
-                self.next_arrival(router);
+                self.schedule_next_arrival(router);
                 let sim_router = &mut self.sim_routers[router];
                 sim_router.arrivals += 1;
-                let kind = if sim_router.arrivals.is_multiple_of(self.load_interval) {
+                let job_type = if sim_router.arrivals.is_multiple_of(self.load_interval) {
                     LOAD_TYPE
                 } else {
                     LOOK_TYPE
                 };
                 let job = sim_router.jobs.len();
-                sim_router.jobs.push(Job { kind, arrived: now, answers: Vec::new(), dispatches: 0 });
+                sim_router.jobs.push(Job { job_type, arrived: now, answers: Vec::new(), dispatches: 0 });
                 let group = GroupId((sim_router.arrivals % 7) as usize);
                 let id = JobId(job);
                 sim_router.instance.router.job_arrived(
                     now,
                     id,
-                    TypeId(kind),
+                    TypeId(job_type),
                     None,
                     group,
                     None,
@@ -273,8 +281,8 @@
                 self.run_decisions(router);
             }
             SimulationEvent::Wake { router } => {
-                if self.sim_routers[router].wake.is_some_and(|at| at <= now) {
-                    self.sim_routers[router].wake = None;
+                if self.sim_routers[router].next_wake.is_some_and(|at| at <= now) {
+                    self.sim_routers[router].next_wake = None;
                     self.run_decisions(router);
                 }
             }
@@ -285,8 +293,17 @@
                 let name = self.engines[engine].name.clone();
                 let instance = &mut self.sim_routers[router].instance;
                 let id = EngineId(instance.engines.intern(&name));
-                let mark = instance.engines.stable_hash(id.0);
-                instance.router.engine_listed(now, id, ZoneId(0), KindId(0), CellId(0), status, None, mark);
+                let name_hash = instance.engines.stable_hash(id.0);
+                instance.router.engine_listed(
+                    now,
+                    id,
+                    ZoneId(0),
+                    KindId(0),
+                    CellId(0),
+                    status,
+                    None,
+                    name_hash,
+                );
                 self.run_decisions(router);
             }
             SimulationEvent::EngineChanges { engine, state } => {
@@ -327,11 +344,11 @@
         }
         let sim_router = &mut self.sim_routers[router];
         sim_router.outstanding.remove(&(job, number));
-        let over = outcome == Outcome::Done;
-        if over && sim_router.jobs[job].answers.is_empty() {
+        let is_done = outcome == Outcome::Done;
+        if is_done && sim_router.jobs[job].answers.is_empty() {
             sim_router.jobs[job].answers.push((now, Answer::Done));
         }
-        let over = !sim_router.jobs[job].answers.is_empty();
+        let is_answered = !sim_router.jobs[job].answers.is_empty();
         sim_router.instance.router.dispatch_ended(
             now,
             JobId(job),
@@ -339,10 +356,12 @@
             outcome,
             now.since(sent),
             None,
-            over,
+            is_answered,
+        );
+        let (name, type_name) = (
+            self.engines[engine].name.clone(),
+            sim_router.instance.types[sim_router.jobs[job].job_type].clone(),
         );
-        let (name, type_name) =
-            (self.engines[engine].name.clone(), sim_router.instance.types[sim_router.jobs[job].kind].clone());
         self.with_gossip(router, |now, core| core.dispatch_ended(now, &name, &type_name, outcome));
         self.run_decisions(router);
     }
@@ -388,7 +407,7 @@
                 }
                 Decision::Wake { after } => {
                     let at = now + after;
-                    self.sim_routers[router].wake = Some(at);
+                    self.sim_routers[router].next_wake = Some(at);
                     self.schedule(at, SimulationEvent::Wake { router });
                 }
                 Decision::SetAside { engine, why } => {
@@ -468,7 +487,7 @@
     /// The number of dispatches from a router to an engine in a period.
     pub fn dispatch_count(&self, engine: usize, router: usize, from: Moment, to: Moment) -> usize {
         let sends = self.engines[engine].dispatches.iter();
-        sends.filter(|(at, by)| *by == router && (from..to).contains(at)).count()
+        sends.filter(|(at, sender)| *sender == router && (from..to).contains(at)).count()
     }
 
     /// The longest part of a period in which an engine received no dispatch.
@@ -492,8 +511,8 @@
             }
         }
         for engine in &self.engines {
-            for ((router, job), _) in engine.executions.iter().filter(|(_, count)| **count > 1) {
-                if self.sim_routers[*router].jobs[*job].kind == LOAD_TYPE {
+            for ((router, job), _) in engine.executions.iter().filter(|(_, sequence)| **sequence > 1) {
+                if self.sim_routers[*router].jobs[*job].job_type == LOAD_TYPE {
                     violations.push(format!("{}: load {job} of router {router} ran twice", engine.name));
                 }
             }
@@ -507,8 +526,8 @@
         let engines_of_jobs = self.engines.iter().flat_map(|engine| engine.executions.keys());
         let mut runs: HashMap<(usize, usize), u32> = HashMap::new();
         engines_of_jobs.for_each(|key| *runs.entry(*key).or_default() += 1);
-        for ((router, job), _) in runs.iter().filter(|(_, count)| **count > 1) {
-            if self.sim_routers[*router].jobs[*job].kind == LOAD_TYPE {
+        for ((router, job), _) in runs.iter().filter(|(_, sequence)| **sequence > 1) {
+            if self.sim_routers[*router].jobs[*job].job_type == LOAD_TYPE {
                 violations.push(format!("load {job} of router {router} ran at two engines"));
             }
         }
--- a/crates/standins/src/troubles.rs
+++ b/crates/standins/src/troubles.rs
@@ -334,9 +334,9 @@
     /// Removes one trouble after another, as long as the rest still fails.
     pub fn shrink(&self, mut fails: impl FnMut(&Self) -> bool) -> Self {
         let mut smallest = self.clone();
-        for place in (0..smallest.troubles.len()).rev() {
+        for index in (0..smallest.troubles.len()).rev() {
             let mut candidate = smallest.clone();
-            candidate.troubles.remove(place);
+            candidate.troubles.remove(index);
             if fails(&candidate) {
                 smallest = candidate;
             }
