--- a/crates/standins/src/calls.rs
+++ b/crates/standins/src/calls.rs
@@ -50,7 +50,7 @@
     }
 
     pub fn at(&self) -> Instant {
-        self.0.lock().unwrap().expect("there was one")
+        self.0.lock().unwrap().expect("a matching call")
     }
 }
 
@@ -66,6 +66,6 @@
     }
 
     pub fn at(&self) -> Instant {
-        self.0.lock().unwrap().expect("there was one")
+        self.0.lock().unwrap().expect("a matching call")
     }
 }
--- a/crates/standins/src/engines.rs
+++ b/crates/standins/src/engines.rs
@@ -74,7 +74,7 @@
 pub struct StandinServer {
     pub address: SocketAddr,
     calls: Receiver<Call>,
-    open: Arc<Sockets>,
+    sockets: Arc<Sockets>,
 }
 
 impl StandinServer {
@@ -88,22 +88,22 @@
     ) -> Self {
         let address = listener.local_addr().unwrap();
         let (answer, (call_sender, calls)) = (Arc::new(Mutex::new(answer)), mpsc::channel());
-        let open = Arc::new(Sockets { listener, streams: Mutex::default() });
-        let kept = open.clone();
+        let sockets = Arc::new(Sockets { listener, streams: Mutex::default() });
+        let shared_sockets = sockets.clone();
         thread::spawn(move || {
-            for (connection, stream) in open.listener.incoming().enumerate() {
+            for (connection, stream) in sockets.listener.incoming().enumerate() {
                 let Ok(stream) = stream else { break };
-                open.streams.lock().unwrap().insert(connection, stream.try_clone().unwrap());
-                let (answer, call_sender, open) = (answer.clone(), call_sender.clone(), open.clone());
+                sockets.streams.lock().unwrap().insert(connection, stream.try_clone().unwrap());
+                let (answer, call_sender, sockets) = (answer.clone(), call_sender.clone(), sockets.clone());
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(call) = read_call(&mut stream, connection) {
                         let _ = call_sender.send(call.clone());
                         let response = answer.lock().unwrap()(&call);
                         let response = match response {
-                            Response::EndProcess => return open.close(),
+                            Response::EndProcess => return sockets.close(),
                             Response::ClosePort(then) => {
-                                open.refuse();
+                                sockets.refuse();
                                 *then
                             }
                             response => response,
@@ -113,26 +113,26 @@
                         }
                     }
                     let _ = stream.get_ref().shutdown(Shutdown::Both);
-                    open.streams.lock().unwrap().remove(&connection);
+                    sockets.streams.lock().unwrap().remove(&connection);
                 });
             }
         });
-        Self { address, calls, open: kept }
+        Self { address, calls, sockets: shared_sockets }
     }
 
     /// Stops accepting connections, as a draining engine does. Open connections stay open.
     pub fn refuse_connections(&self) {
-        self.open.refuse();
+        self.sockets.refuse();
     }
 
     /// Simulates the end of the process: closes the port, then every connection.
     pub fn end_process(&self) {
-        self.open.close();
+        self.sockets.close();
     }
 
     /// Waits for the next call whose first line starts with `start`; discards the calls before it.
     pub fn wait_for_call(&self, start: &str) -> Call {
-        self.calls_until(start).pop().expect("until such a call")
+        self.calls_until(start).pop().expect("a matching call")
     }
 
     /// Waits for the first call whose first line starts with `start` and returns all calls up to it.
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -114,7 +114,7 @@
     discoveries: Vec<Mutex<RouterDiscovery>>,
     /// Discovery servers from before a move, by router, for as long as the router can't read the new address.
     old_discoveries: Mutex<Vec<(usize, RouterDiscovery)>>,
-    discovery: Arc<Mutex<DiscoveryMode>>,
+    discovery_mode: Arc<Mutex<DiscoveryMode>>,
     /// Fault injection by router, for routers whose system calls can fail.
     preloads: BTreeMap<usize, Preload>,
     observations: Arc<Mutex<Observations>>,
@@ -141,7 +141,7 @@
             let mut observations = observations.lock().unwrap();
             (observations.ordered, observations.routers) = (layout.ordered, layout.routers);
         }
-        let discovery = Arc::new(Mutex::new(DiscoveryMode::Well));
+        let discovery_mode = Arc::new(Mutex::new(DiscoveryMode::Well));
         let mut preloads = BTreeMap::new();
         let gossip = if layout.gossip { gossip_arguments(&layout, folder, &relays) } else { Vec::new() };
         let (mut discoveries, mut routers) = (Vec::new(), Vec::new());
@@ -151,7 +151,7 @@
                 .collect();
             let events = DiscoveryEvents::default();
             events.add(1, members.clone());
-            let router_discovery = start_discovery(events, discovery.clone());
+            let router_discovery = start_discovery(events, discovery_mode.clone());
             let at = relays.relay_address(
                 &format!("n{router}"),
                 &format!("b{router}"),
@@ -218,7 +218,7 @@
             last_event: Mutex::new(1),
             discoveries: discoveries.into_iter().map(Mutex::new).collect(),
             old_discoveries: Mutex::default(),
-            discovery,
+            discovery_mode,
             preloads,
             observations,
             stopped,
@@ -291,7 +291,7 @@
     fn move_discovery(&self) {
         for (number, (router, old)) in self.routers.iter().zip(&self.discoveries).enumerate() {
             let mut old = old.lock().unwrap();
-            let new = start_discovery(old.events.clone(), self.discovery.clone());
+            let new = start_discovery(old.events.clone(), self.discovery_mode.clone());
             let (from, to) = (format!("n{number}"), format!("b{number}"));
             let at = self.relays.relay_address(&from, &to, new.server.address);
             let old = std::mem::replace(&mut *old, new);
@@ -310,8 +310,8 @@
 
     /// Closes the old discovery servers of a router that has read the new address.
     fn close_old_discoveries(&self, router: usize) {
-        let mut left = self.old_discoveries.lock().unwrap();
-        for (_, discovery) in left.extract_if(.., |(of, _)| *of == router) {
+        let mut old = self.old_discoveries.lock().unwrap();
+        for (_, discovery) in old.extract_if(.., |(of, _)| *of == router) {
             discovery.open.store(false, Ordering::Relaxed);
         }
     }
--- a/crates/standins/src/fleet/effects.rs
+++ b/crates/standins/src/fleet/effects.rs
@@ -37,7 +37,7 @@
             }
             Trouble::Reload { router, times } => return self.reload(*router, *times),
             Trouble::Move => self.move_discovery(),
-            Trouble::Discovery { mode, .. } => *self.discovery.lock().unwrap() = *mode,
+            Trouble::Discovery { mode, .. } => *self.discovery_mode.lock().unwrap() = *mode,
             Trouble::Engine { engine, mode, .. } => self.set_engine_mode(*engine, *mode),
             Trouble::Replace { engines } => self.replace_engines(engines),
             Trouble::Calls { router, call, every, error, .. } => {
@@ -119,7 +119,7 @@
                 self.wait_for_end(*router);
                 starter.start_router(*router);
             }
-            Trouble::Discovery { .. } => *self.discovery.lock().unwrap() = DiscoveryMode::Well,
+            Trouble::Discovery { .. } => *self.discovery_mode.lock().unwrap() = DiscoveryMode::Well,
             Trouble::Engine { engine, .. } => self.set_engine_mode(*engine, EngineMode::Well),
             Trouble::Calls { router, call, .. } => {
                 self.preloads[router].fail(*call, 0, rustix::io::Errno::INTR);
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/judge.rs
@@ -107,14 +107,16 @@
 /// Rule 1: each job is answered, unless its router was killed, or was terminated some time before the job
 /// came.
 fn every_job_answered(observations: &Observations) -> Result<(), Violation> {
-    for JobRecord { router, id, at, connected_at: since, elapsed, result: got, .. } in
+    for JobRecord { router, id, at, connected_at, elapsed, result, .. } in
         observations.answers.iter().filter(|job| !job.is_direct)
     {
-        let killed = observations.killed.iter().any(|(number, when)| number == router && when >= since);
-        let past = |when: &Instant| when >= since || at.saturating_duration_since(*when) < ANSWER_LIMIT;
+        let killed =
+            observations.killed.iter().any(|(number, when)| number == router && when >= connected_at);
+        let past =
+            |when: &Instant| when >= connected_at || at.saturating_duration_since(*when) < ANSWER_LIMIT;
         let ended = |when: &Instant| *at >= *when + ACCEPTING_AFTER_END && past(when);
         let ended = observations.terminated.iter().any(|(number, when)| number == router && ended(when));
-        if let (Err(error), false, false) = (got, killed, ended) {
+        if let (Err(error), false, false) = (result, killed, ended) {
             let message =
                 format!("job {id} at router {router} got no answer, {elapsed:?} behind it: {error}");
             return Err(Violation::for_job(id, message));
@@ -154,9 +156,9 @@
 
 /// Rule 2: a run-once job arrives at one engine at most, as no engine here declines a job without running it.
 fn run_once_jobs_sent_once(observations: &Observations) -> Result<(), Violation> {
-    let mut came: HashMap<&str, usize> = HashMap::new();
+    let mut arrival_counts: HashMap<&str, usize> = HashMap::new();
     for QueryArrival { id, .. } in observations.arrivals.iter().filter(|arrival| is_load(&arrival.id)) {
-        let count = came.entry(id).or_default();
+        let count = arrival_counts.entry(id).or_default();
         *count += 1;
         if *count > 1 {
             return Err(Violation::for_job(id, format!("run-once job {id} came to engines twice")));
@@ -194,10 +196,10 @@
                 .iter()
                 .take_while(|at| at.duration_since(*first).as_millis() < u128::from(FALL_MS));
             let count = within.count();
-            let risen =
+            let progress =
                 (first.saturating_duration_since(*start).as_secs_f64() / COLD_PERIOD.as_secs_f64()).min(1.0);
-            let able = START_CAPACITY + (1.0 - START_CAPACITY) * risen;
-            let budget = OVERLOAD_FACTOR * able * ENGINE_CORES * FALL_MS as f64 / JOB_COST_MS as f64;
+            let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * progress;
+            let budget = OVERLOAD_FACTOR * capacity * ENGINE_CORES * FALL_MS as f64 / JOB_COST_MS as f64;
             if count as f64 > budget + budget.sqrt() {
                 let message =
                     format!("{count} jobs in a window at cold engine {engine}, {budget:.1} are its budget");
@@ -220,16 +222,14 @@
         let Some(before) = last.insert(router, arrival) else { continue };
         let query = observations.queries.get(before.engine, &before.id).expect("a query for each arrival");
         let (ended_at, end) = query.end_time();
-        let engine_ends = observations
-            .engine_ends
-            .get(&before.engine)
-            .is_some_and(|engine_ends| *engine_ends <= arrival.at);
+        let engine_has_ended =
+            observations.engine_ends.get(&before.engine).is_some_and(|ended_at| *ended_at <= arrival.at);
         let between = |(number, when): &(usize, Instant)| {
             *number == router && *when >= before.at && *when <= arrival.at
         };
         let kills = observations.killed.iter().chain(&observations.killed_while_ending);
         let restarted = kills.chain(&observations.terminated).any(between);
-        if ended_at > arrival.at && !engine_ends && !restarted {
+        if ended_at > arrival.at && !engine_has_ended && !restarted {
             let since = |at: Instant| at.saturating_duration_since(before.at);
             let message = format!(
                 "load {} of router {router} came to engine {} while {} was out at engine {}: {:?} behind it, which had {:?}, was asked for last at {:?} and was over at {:?} ({end:?}); the engine drained at {:?}",
@@ -267,10 +267,10 @@
 
 /// The deadline that an engine is given is no longer than the client's remaining time.
 fn deadlines_not_extended(observations: &Observations) -> Result<(), Violation> {
-    let job: HashMap<&str, &JobRecord> =
+    let jobs: HashMap<&str, &JobRecord> =
         observations.answers.iter().map(|job| (job.id.as_str(), job)).collect();
     for arrival in observations.arrivals.iter().filter(|_| !observations.had_ways) {
-        let Some(job) = job.get(arrival.id.as_str()) else { continue };
+        let Some(job) = jobs.get(arrival.id.as_str()) else { continue };
         let left = job.wait.saturating_sub(arrival.at.saturating_duration_since(job.at));
         if arrival.time_left > left + DEADLINE_SLACK + SCHEDULING_SLACK.min(job.wait / 10) {
             let message = format!(
@@ -298,10 +298,10 @@
 
 /// Rule 1: answers come in time, except at suspended routers and when relays delayed traffic.
 fn answers_in_time(observations: &Observations) -> Result<(), Violation> {
-    let counts = |job: &&JobRecord| !observations.had_ways && !observations.paused.contains(&job.router);
+    let is_counted = |job: &&JobRecord| !observations.had_ways && !observations.paused.contains(&job.router);
     let late =
         |job: &&JobRecord| job.result.is_ok() && job.elapsed > job.wait + ANSWER_SLACK + SCHEDULING_SLACK;
-    match observations.answers.iter().filter(counts).find(late) {
+    match observations.answers.iter().filter(is_counted).find(late) {
         Some(job) => {
             Err(Violation::for_job(&job.id, format!("job {} was answered after {:?}", job.id, job.elapsed)))
         }
--- a/crates/standins/src/relays.rs
+++ b/crates/standins/src/relays.rs
@@ -69,7 +69,8 @@
     pub const CUT: Way = Way { cut: true, delay: (0, 0), loss: 0.0, twice: 0.0, bytes_per_s: None };
 }
 
-/// A period in which the relays' thread did not run, so that nothing was forwarded.
+/// A period in which the relays' thread did not run, so that nothing was forwarded. The name is part of a
+/// printed verdict.
 #[derive(Clone, Copy, Debug)]
 pub struct Rest {
     pub from: Instant,
@@ -414,7 +415,8 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits as long as this many bytes take in one direction.
+    /// Waits until this many bytes may pass in one direction: for the end of a cut, the delay and the
+    /// transfer time.
     async fn wait_to_pass(&self, from: &str, to: &str, bytes: usize) {
         let mut has_waited = false;
         loop {
@@ -483,7 +485,7 @@
         }
         Err(io::ErrorKind::ConnectionReset.into())
     };
-    let carried = async {
+    let relayed = async {
         let server = connected.await?;
         let _ = (client.get_ref().set_nodelay(true), server.get_ref().set_nodelay(true));
         let outbound = pump(shared, from, to, &client, &server);
@@ -494,7 +496,7 @@
         }
         ended.map(|_| ())
     };
-    let ended: io::Result<()> = reset.or(carried).await;
+    let ended: io::Result<()> = reset.or(relayed).await;
     if ended.is_err() {
         reset_on_close(&client);
     }
