--- a/crates/standins/src/preload.rs
+++ b/crates/standins/src/preload.rs
@@ -77,7 +77,7 @@
         vec![("LD_PRELOAD".into(), shown(&self.library)), ("WOADHOOK_FAULTS".into(), shown(&self.slots))]
     }
 
-    /// Makes every `every`-th such call fail with this error from now on; 0 turns the failures off.
+    /// Makes one in `every` such calls fail with this error from now on; 0 turns the failures off.
     pub fn fail(&self, call: SystemCall, every: u32, error: rustix::io::Errno) {
         self.set(2 * call as usize + 1, error.raw_os_error().into());
         self.set(2 * call as usize, every.into());
--- a/crates/standins/src/simulation.rs
+++ b/crates/standins/src/simulation.rs
@@ -93,7 +93,7 @@
     rng: Pcg32,
     queue: BTreeMap<(Moment, u64), SimulationEvent>,
     sequence: u64,
-    /// Every so many jobs one is a load, which is run-once.
+    /// One in this many jobs is a load, which is run-once.
     pub load_interval: u64,
 }
 
