--- a/crates/router/src/backends/sql/doubt.rs
+++ b/crates/router/src/backends/sql/doubt.rs
@@ -1,5 +1,5 @@
-//! Tracks whether a query may still run at its engine, from everything that was received about it since its
-//! POST began.
+//! Tracks whether a query may still run at its engine, from all answers and connection errors since its POST
+//! began.
 
 use std::cell::Cell;
 
@@ -7,11 +7,12 @@
 
 use crate::faults::CallError;
 
-/// What is known of one query.
+/// Whether one query may still run, and the evidence for it.
 #[derive(Default)]
 pub struct Doubt {
     /// Why the query may still run; `None` if there is evidence that it does not.
     cause: Cell<Option<Cause>>,
+    /// Whether the query was given up.
     is_given_up: Cell<bool>,
     /// Whether the engine refused a connection.
     is_refused: Cell<bool>,
@@ -43,45 +44,46 @@
 pub enum Settlement {
     /// The process that has it confirmed that it was given up, or reported its end.
     Confirmed,
-    /// It was not polled for so long that its engine has ended it, and something answered at the engine's
-    /// address.
+    /// It was not polled for so long that its engine has ended it, and a process answered at the engine's
+    /// address after that.
     Expired,
     /// Its engine refuses connections, and the client's deadline has passed.
     RefusedAfterDeadline,
-    /// Its engine has been listed as gone for as long as an unpolled query lives.
+    /// Its engine has been listed as gone for as long as an unpolled query may run on.
     EngineGone,
 }
 
 impl Doubt {
-    /// Marks the query as one that may still run.
+    /// Records why the query may still run.
     pub fn note_cause(&self, cause: Cause) {
         self.cause.set(Some(cause));
     }
 
-    /// Notes that the query is being given up.
+    /// Records that the query is being given up.
     pub fn note_give_up(&self) {
         self.is_given_up.set(true);
         self.note_cause(Cause::GivenUp);
     }
 
-    /// Notes that the process that has the query reported its end, over the connection that carried the POST.
+    /// Records that the process that has the query reported its end, over the connection that carried the
+    /// POST.
     pub fn note_end(&self) {
         self.has_ended.set(true);
     }
 
-    /// Notes that some process at the engine's address confirmed that the query was given up.
+    /// Records that some process at the engine's address confirmed that the query was given up.
     pub fn note_deleted_by_address(&self) {
         self.cause.set(None);
         self.may_be_another_process.set(true);
     }
 
-    /// Notes a panic of its task: nothing more is known than that the query may still run.
+    /// Records a panic of the query's task, after which the query may still run at any process.
     pub fn note_panic(&self) {
         self.note_cause(Cause::Panic);
         self.may_be_another_process.set(true);
     }
 
-    /// Notes a call that got no answer.
+    /// Records a call that got no answer.
     pub fn note_break(&self, error: &CallError) {
         self.is_refused.set(self.is_refused.get() || matches!(error, CallError::Refused));
         if error.is_break() {
@@ -89,7 +91,8 @@
         }
     }
 
-    /// Notes that another process may answer at the engine's address from now on.
+    /// Records that another process than the one that has the query may answer at the engine's address from
+    /// now on, so that errors from there no longer prove the query's end.
     pub fn note_another_process(&self) {
         self.may_be_another_process.set(true);
     }
@@ -98,15 +101,18 @@
         self.has_ended.get()
     }
 
-    pub fn is_open(&self) -> bool {
+    /// Whether there is a recorded cause for which the query may still run.
+    pub fn has_cause(&self) -> bool {
         self.cause.get().is_some()
     }
 
+    /// Whether the engine refused a connection.
     pub fn is_refused(&self) -> bool {
         self.is_refused.get()
     }
 
-    /// Returns why a query that has begun may still run after such an outcome; `None` if it can't.
+    /// Returns why a query that has begun may still run after a dispatch with this outcome; `None` if it has
+    /// certainly ended.
     pub fn cause(&self, outcome: Outcome) -> Option<Cause> {
         if outcome == Outcome::Done || self.has_ended.get() {
             return None;
--- a/crates/router/src/backends/sql/engine.rs
+++ b/crates/router/src/backends/sql/engine.rs
@@ -21,6 +21,7 @@
 
 /// Maximum length of the answer to a control call.
 const MAX_CONTROL_ANSWER_BYTES: usize = 4 * 1024;
+
 /// What all engines share.
 pub struct EngineContext {
     pub clock: Clock,
@@ -33,10 +34,10 @@
     pub wants_load_reports: bool,
     /// Memory for results.
     pub result_memory: MemoryBudget,
-    /// Minimum rate required of result pages, with the grace period. The dispatcher lowers the rate from its
-    /// configured maximum.
+    /// Minimum rate at which result pages must arrive, with the period for which they may pause. The
+    /// dispatcher sets it to the configured maximum rate or less.
     pub min_rate: Rc<Cell<MinRate>>,
-    /// For the ends of probes, which the dispatcher takes before other events.
+    /// Carries the ends of probes, which the dispatcher processes before other events.
     pub urgent: Sender<Event>,
     pub guards: Guards,
     pub freshness: ListFreshness,
@@ -45,12 +46,12 @@
 /// What the queries at one engine share.
 pub struct Engine {
     pub context: Rc<EngineContext>,
-    /// Tells its connections apart from those of an earlier engine.
+    /// Distinguishes its connections from those of an earlier engine.
     pub serial: u64,
     pub address: SocketAddr,
-    /// Whether it was not reported as draining or gone.
+    /// Whether it has been reported neither as draining nor as gone.
     pub is_live: Cell<bool>,
-    /// Whether it is gone.
+    /// Whether it has been reported as gone.
     pub is_gone: Cell<bool>,
 }
 
@@ -59,11 +60,13 @@
         pool.acquire(self.serial, self.address, self.context.connect_timeout).await
     }
 
-    /// A short call separate from the queries' own: giving up a query, or a new priority.
+    /// Makes a short call about a query over a separate connection: a DELETE, or a PUT with a new priority.
     pub async fn control_call(&self, method: &str, path: &str, body: &str) -> Result<u16, CallError> {
         self.short_call(&self.context.control_calls, method, path, body, |_, _| ()).await
     }
 
+    /// Makes one call over a connection of `pool` and returns the status of the answer. `field` receives the
+    /// header fields of the answer.
     pub async fn short_call(
         &self, pool: &Rc<ConnectionPool>, method: &str, path: &str, body: &str, field: impl FnMut(&str, &str),
     ) -> Result<u16, CallError> {
--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -1,4 +1,4 @@
-//! Gives up a query that was sent, and determines when it has certainly ended.
+//! Gives up a query that was sent, by DELETE, and determines when it has certainly ended.
 
 use std::pin::Pin;
 
@@ -31,7 +31,7 @@
 }
 
 impl Query {
-    /// Deletes the query. It repeats the call until an engine has answered it, nothing listens there, or the
+    /// Gives the query up. The call is repeated until a process answers it, a connection is refused, or the
     /// query was not polled for so long that the engine has ended it by itself, unless the engine hangs.
     pub async fn give_up(&self) {
         self.doubt.note_give_up();
@@ -45,11 +45,11 @@
     }
 
     /// Gives up a query over the connection that carried its POST, once the call under way there is answered.
-    /// Threat: a draining engine closes its port and works on, so that a call over a new connection is
-    /// refused, or reaches another process that now has the port and confirms the end of a query that it
-    /// never had. Cost: the key of a query that is given up waits for one poll, at most 250 ms at a healthy
-    /// engine; if that connection is gone, it waits for the query's expiry. If a POST was not written
-    /// completely, it never runs as long as that remains so.
+    /// Threat: a draining engine closes its port and continues to run its queries, so that a call over a new
+    /// connection is refused, or reaches another process that now has the port and confirms the end of a
+    /// query that it never had. Cost: the order key of a query that is given up waits for one poll, at most
+    /// 250 ms at a healthy engine; if that connection is gone, it waits for the query's expiry. Nothing is
+    /// done for a POST that was not written completely, as no engine runs its query while bytes are missing.
     pub async fn give_up_over_post_connection(&self, work: Pin<&mut impl Future<Output = QueryEnd>>) {
         if self.is_posted.get() {
             self.give_up_requested.set(true);
@@ -63,8 +63,8 @@
         self.note_delete(Over::Another, status)
     }
 
-    /// Gives the query up over the connection of its polls, which carries no other query after that: it may
-    /// lead to a draining process while another process now has the port.
+    /// Gives the query up over the connection of its polls. The connection carries no other query after that,
+    /// because it may lead to a draining process while another process now has the port.
     pub async fn delete_over(&self, connection: &mut PooledConnection) {
         let head = request_head("DELETE", &self.path(), self.engine.address, &[], 0);
         let call = connection.call(&head, &[], MAX_PAGE_BYTES, |_| (), |_, _| ());
@@ -77,6 +77,7 @@
         }
     }
 
+    /// Records the answer to a DELETE, or that there was none.
     fn note_delete(&self, over: Over, status: Result<u16, CallError>) -> Result<(), CallError> {
         let status = status.inspect_err(|error| self.doubt.note_break(error))?;
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
@@ -89,23 +90,23 @@
         Ok(())
     }
 
-    /// The latest time at which the engine has ended the query by itself, because it is no longer polled.
+    /// The time by which the engine has ended the query by itself, because it is no longer polled.
     fn expiry(&self) -> Moment {
         self.last_poll.get() + QUERY_EXPIRY
     }
 
     /// Waits until the query has certainly ended, and returns why: the process that has it reported so;
-    /// something answers at the address so late that the query, unpolled, has expired; the engine refuses
-    /// every connection and the client's deadline has passed; or the engine has been listed as gone for as
-    /// long as an unpolled query lives. In all cases but the first, it waits for the query's expiry.
+    /// a process answers at the address after the query, which is no longer polled, has expired; the engine
+    /// refuses connections and the client's deadline has passed; or the engine has been listed as gone for as
+    /// long as an unpolled query may run on. In all cases but the first, it waits for the query's expiry.
     ///
     /// Threat: a port that refuses connections shows that no query begins there, not that an earlier one has
-    /// ended, because a draining engine closes its port and works on until it ends, some time after it is
-    /// listed as gone; a process that was restarted, or that took over the port of another, does not know the
-    /// query. The next query of the same key would run beside it. This also covers engines that are listed as
-    /// gone early. Cost: after a reset, or with an engine that fails, the key waits for the rest of the
-    /// expiry; after a crash, for the whole deadline of the first query, or until the engine is listed as
-    /// gone or answers again.
+    /// ended, because a draining engine closes its port and continues to run its queries until it ends, some
+    /// time after it is listed as gone; a process that was restarted, or that took over the port of another,
+    /// does not know the query. The next query of the same key would run beside it. This also covers engines
+    /// that are listed as gone before they have ended. Cost: after a reset, or with an engine that fails, the
+    /// key waits for the rest of the expiry; after a crash, for the whole deadline of the first query, or
+    /// until the engine is listed as gone or answers again.
     pub async fn settle(&self) -> Settlement {
         if self.doubt.has_ended() {
             return Settlement::Confirmed;
@@ -117,7 +118,7 @@
 
     async fn expiry_or_end_of_engine(&self) -> Settlement {
         let mut gone_since = None;
-        while self.doubt.is_open() {
+        while self.doubt.has_cause() {
             sleep(SETTLE_INTERVAL).await;
             let now = self.now();
             gone_since = self.engine.is_gone.get().then(|| gone_since.unwrap_or(now));
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -13,8 +13,8 @@
 use crate::faults::CallError;
 use crate::tasks::Tasks;
 
-/// Maximum attempts at a probe that breaks, gets a malformed answer or none, since that may be noise on the
-/// connection.
+/// Maximum number of attempts of a probe whose connection breaks, or whose answer is missing or malformed,
+/// since the fault may be one of the connection alone.
 const MAX_PROBE_ATTEMPTS: usize = 3;
 
 pub enum EngineCall {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Notifies the dispatcher of the end of a probe: once, and whatever happens to the probe's task. Threat:
+/// Notifies the dispatcher of the end of a probe exactly once, whatever happens to the probe's task. Threat:
 /// after a panic the dispatcher would wait for that end forever and never probe the engine again.
 struct ProbeNotifier {
     engine: EngineId,
@@ -122,8 +122,8 @@
         Ok(200) => Outcome::Done,
         Ok(503) => Outcome::TurnedAway,
         Ok(_) => Outcome::Error,
-        // A failure on this machine says nothing about the engine. Threat: one bad second would set all
-        // engines aside at once.
+        // A failure on this machine says nothing about the engine. Threat: one short failure here would set
+        // all engines aside at once.
         Err(CallError::NoDescriptor | CallError::Local(_)) => Outcome::NotIssued,
         Err(CallError::Refused) => Outcome::NotConnected,
         Err(CallError::NoConnectionInTime | CallError::NoAnswerInTime | CallError::TooSlow(_)) => {
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -1,5 +1,5 @@
-//! One dispatch: the POST, the polls and the pages of the result. `give_up` ends it early, and `doubt` tracks
-//! whether it may still run.
+//! One dispatch: the POST, the polls and the pages of the result. `give_up` ends its query early, and `doubt`
+//! tracks whether the query may still run.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 const COLUMNS: usize = 3;
 /// An engine ends a query that was not polled for this long.
 const POLL_EXPIRY: Span = Span::from_micros(2_000_000);
-/// Interval between calls that give up a query of which the engine reports nothing.
+/// Interval between the DELETE calls for a query that was given up and whose end is not certain yet.
 pub const SETTLE_INTERVAL: Span = Span::from_micros(100_000);
 /// Pause between calls that fail at once.
 pub const RETRY_PAUSE: Span = Span::from_micros(20_000);
@@ -36,16 +36,17 @@
 const MAX_CONNECT_PAUSE: Span = Span::from_micros(40_000);
 /// A call that gets no answer for this long is repeated on another connection.
 pub const ANSWER_TIMEOUT: Span = Span::from_micros(500_000);
-/// Number of times a page that arrives too slowly is requested again; after that it may take as long as it
-/// does.
-const MAX_SLOW_RETRIES: usize = 2;
+/// Number of times that a page is requested with the usual minimum rate. After that many answers that were
+/// too slow, the minimum rate is 1 byte per second.
+const MAX_SLOW_PAGES: usize = 2;
 /// Number of malformed answers in a row after which no valid one is expected.
 const MAX_MALFORMED_ANSWERS: usize = 8;
 
-/// What a dispatch owes the dispatcher, whatever happens to its task: one notification of its end and, if its
-/// key is in doubt, one that the doubt is settled. Threat: a task that panics would leave its job without an
-/// end, or let the next job of its key run beside it. Cost: if the fault repeats, the dispatch is given up
-/// again once every `SETTLE_INTERVAL`.
+/// Sends the notifications about one dispatch to the dispatcher, whatever happens to the dispatch's task: one
+/// of its end and, if its order key is in doubt because the query may still run, one that the query has
+/// certainly ended. Threat: a task that panics would leave its job without an end, or let the next job of the
+/// same key run beside it. Cost: if the fault repeats, the query is given up again once every
+/// `SETTLE_INTERVAL`.
 struct EndNotifier {
     query: Rc<Query>,
     is_reported: bool,
@@ -66,7 +67,8 @@
         let _ = self.query.events.send(ended).await;
     }
 
-    /// Waits until the query has certainly ended. Only the next job of its key waits for this.
+    /// Waits until the query has certainly ended, and then releases the order key. The dispatch's end was
+    /// reported before, so that only the next job of the same key waits.
     async fn settle(mut self, doubt: Option<Cause>) {
         if let Some((order_key, cause)) = self.query.dispatch.order_key.zip(doubt) {
             let (job, number) = (&self.query.dispatch.statement.id, self.query.dispatch.number);
@@ -78,7 +80,8 @@
         self.is_settled = true;
     }
 
-    /// After a panic, the query may still run for all that is known.
+    /// Sends the missing notifications after a panic. Nothing is known then about the query, so it counts as
+    /// one that may still run.
     async fn resume(mut self) {
         if !self.is_reported {
             self.report((Outcome::Reset, None, None), Some(Cause::Panic)).await;
@@ -108,7 +111,7 @@
     pub engine: Rc<Engine>,
     pub dispatch: Dispatch,
     events: Sender<Event>,
-    /// New priorities; closed once the dispatch is called off.
+    /// New priorities. The channel closes once the dispatch is cancelled.
     priorities: Receiver<u8>,
     /// Whether any byte of the POST was written.
     has_begun: Cell<bool>,
@@ -120,7 +123,8 @@
     pub is_posted: Cell<bool>,
     /// Whether the polls use the connection that carried the POST.
     pub on_post_connection: Cell<bool>,
-    /// Whether it is to be given up over that connection, once the call under way there is answered.
+    /// Whether the query is to be given up over the connection of its polls, once the call under way there is
+    /// answered.
     pub give_up_requested: Cell<bool>,
 }
 
@@ -128,15 +132,19 @@
 #[derive(Default)]
 struct CallAnswer {
     status: u16,
+    /// Whether the engine declined the query: it states that it never ran it.
     declined: bool,
+    /// The number of pages of the result, and the page that this answer carries.
     pages: usize,
     page: Option<usize>,
-    note: Option<(String, f64)>,
+    /// The kind and value of a progress notification.
+    progress: Option<(String, f64)>,
     actual_cost: Option<(Span, f64)>,
     body: Vec<u8>,
 }
 
-/// Runs a dispatch. `priorities` carries new priorities; the query is given up once that channel closes.
+/// Runs a dispatch. `priorities` carries new priorities. It closes once the dispatch is cancelled, and the
+/// query is given up then.
 pub async fn run(engine: Rc<Engine>, dispatch: Dispatch, priorities: Receiver<u8>, events: Sender<Event>) {
     let (last_poll, last_answer) = (Cell::new(dispatch.decided_at), Cell::new(dispatch.decided_at));
     let query = Rc::new(Query {
@@ -158,8 +166,8 @@
     if !query.has_begun.get() && !query.dispatch.statement.client.is_waiting() {
         let _ = query.events.send(Event::JobAbandoned { job: query.dispatch.job }).await;
     }
-    // A query that may still run is deleted before the dispatcher is notified, so that no other dispatch of
-    // the job meets it.
+    // A query that may still run is deleted before the dispatcher is notified, as only then another dispatch
+    // of the job may be sent.
     let mut unfinished = None;
     let end = match end {
         Ok(end) => end,
@@ -180,7 +188,7 @@
     };
     let doubt = query.doubt.cause(end.0).filter(|_| query.has_begun.get());
     notifier.report(end, doubt).await;
-    // Only the next job of its key waits for this.
+    // Only the next job with the same order key waits for the end of this query.
     if let (Some(work), Some(_), Some(_)) = (unfinished, doubt, query.dispatch.order_key) {
         query.give_up_over_post_connection(work).await;
     }
@@ -207,7 +215,7 @@
                 self.delete_over(&mut connection).await;
                 return Err(Outcome::Cancelled);
             }
-            if let Some((name, value)) = answer.note {
+            if let Some((name, value)) = answer.progress {
                 self.forward_progress(&name, value).await;
             }
             (answer, connection) = self.request_page(0, Some(connection)).await?;
@@ -218,18 +226,20 @@
         }
         match answer.status {
             200 => Ok((answer.actual_cost, self.collect_pages(answer, connection).await?)),
-            // Threat: another process at the engine's port declines a query that the engine runs, and a job
-            // that must not run twice would be sent again. Cost: such a job fails if the engine's own refusal
-            // came over a later connection.
+            // A declined answer proves that the query never ran only if it came over the connection that
+            // carried the POST. Threat: the engine runs the query, but another process now has its port and
+            // declines it, and a job that must not run twice would be sent again. Cost: such a job fails if
+            // the engine itself declined it over a later connection.
             503 | 504 if self.on_post_connection.get() => Err(Outcome::TurnedAway),
             _ => Err(Outcome::Error),
         }
     }
 
-    /// Notes that the engine reported the end of the query. Threat: a draining engine closes its port and
-    /// works on; a process that takes over the port does not know the query and answers so, which does not
-    /// mean that it has ended. Only a result can come from no other process than the engine that produced it.
-    /// Cost: if an engine fails and the connection of the POST is gone, the key waits for the query's expiry.
+    /// Records that the engine reported the end of the query. Threat: a draining engine closes its port and
+    /// continues to run its queries; a process that takes over the port does not know the query and answers
+    /// with an error, which does not mean that the query has ended. Only a result can come from no other
+    /// process than the engine that produced it. Cost: if an engine fails and the connection of the POST is
+    /// gone, the key waits for the query's expiry.
     fn note_end(&self, status: u16) {
         if self.on_post_connection.get() {
             self.doubt.note_end();
@@ -239,7 +249,7 @@
     }
 
     /// Sends the POST and receives its answer. If the answer is missing, malformed or cut off, the query is
-    /// polled, as it may be running. A connection that breaks before any byte was written says nothing about
+    /// polled, as it may be running. A connection that breaks before any byte was written shows no fault of
     /// the engine and is replaced.
     async fn post(&self) -> Result<(CallAnswer, PooledConnection), Outcome> {
         let connect_timeout = self.engine.context.connect_timeout;
@@ -256,7 +266,7 @@
                     pause = pause.mul_f64(2.0).min(MAX_CONNECT_PAUSE);
                     continue;
                 }
-                // This says nothing about the engine, which is not set aside for it.
+                // A failure on this machine says nothing about the engine, which is not set aside for it.
                 Err(CallError::Local(_)) => return Err(Outcome::NotIssued),
                 Err(_) => return Err(Outcome::NotConnected),
             };
@@ -270,15 +280,15 @@
                 return Err(Outcome::NotIssued);
             }
             self.last_answer.set(self.now());
-            let patience = self.dispatch.deadline.since(self.now()).micros().div_ceil(1000).to_string();
+            let remaining_ms = self.dispatch.deadline.since(self.now()).micros().div_ceil(1000).to_string();
             let mut fields = vec![
                 ("X-Trace", statement.id.as_str()),
                 ("X-Profile", &statement.class),
-                ("X-Patience", &patience),
+                ("X-Patience", &remaining_ms),
                 ("X-Weight-Class", &priority),
             ];
             fields.extend(statement.order_key.as_deref().map(|key| ("X-Asset", key)));
-            fields.extend(statement.idempotency_key.as_deref().map(|once| ("X-Op-Key", once)));
+            fields.extend(statement.idempotency_key.as_deref().map(|key| ("X-Op-Key", key)));
             self.on_post_connection.set(true);
             let post = self.call(&mut connection, "POST", "/v2/q", &fields, statement.text.as_bytes(), 0);
             match with_timeout(ANSWER_TIMEOUT, post).await.unwrap_or(Err(CallError::NoAnswerInTime)) {
@@ -296,7 +306,8 @@
             drop(connection);
             let (answer, connection) = self.request_page(0, None).await?;
             if answer.status == 500 {
-                // The POST may still be on its way to the engine.
+                // The POST may still be on its way to the engine. So this error, like one from another
+                // process, does not prove that the query has ended.
                 self.doubt.note_another_process();
                 self.give_up().await;
             }
@@ -306,7 +317,7 @@
 
     /// Checks again, after the wait for a connection and right before the first byte, what may have changed
     /// since the decision: the engine drains, the job's deadline or the limit for repeating it has passed,
-    /// the dispatch was called off, or the client is gone.
+    /// the dispatch was cancelled, or the client is gone.
     fn check_send(&self) -> Result<(), Refusal> {
         self.send_conditions().check()?;
         if self.dispatch.statement.client.is_waiting() { Ok(()) } else { Err(Refusal::ClientGone) }
@@ -322,8 +333,8 @@
         }
     }
 
-    /// Notes that bytes of the POST were written. There is no await between the guard and the first write, so
-    /// what the guard checked holds there.
+    /// Records that bytes of the POST were written. There is no await between the guard and the first write,
+    /// so what the guard checked holds there.
     fn note_first_byte(&self) {
         if let (false, Err(why)) = (self.has_begun.replace(true), self.send_conditions().check()) {
             self.engine.context.guards.record_violation(Step::Send, why, &self.dispatch.statement.id);
@@ -332,8 +343,8 @@
 
     /// Polls the query (page 0) or requests a page. It repeats the call on another connection if one breaks,
     /// stays silent or returns something malformed, because the engine gives the same answer again. An engine
-    /// counts as present for as long as it answers at all, so that noise on connections is not taken for its
-    /// end.
+    /// counts as running for as long as it answers at all, so that faults of single connections are not taken
+    /// for its end.
     async fn request_page(
         &self, page: usize, mut connection: Option<PooledConnection>,
     ) -> Result<(CallAnswer, PooledConnection), Outcome> {
@@ -355,7 +366,7 @@
                     // An engine that answers slowly still answers: each received part of a page counts as an
                     // answer.
                     let min_rate = self.engine.context.min_rate.get();
-                    connection.min_rate = if slow_pages < MAX_SLOW_RETRIES {
+                    connection.min_rate = if slow_pages < MAX_SLOW_PAGES {
                         min_rate
                     } else {
                         MinRate { bytes_per_s: 1.0, ..min_rate }
@@ -365,6 +376,7 @@
                         Err(CallError::TooSlow(figures)) => {
                             slow_pages += 1;
                             let at = self.engine.address;
+                            // `engine_crawls`: the engine sent a page below the minimum rate.
                             log::debug!(event = "engine_crawls", engine:% = at, page; "engine {at}: page {page} is too slow: {figures}");
                             self.last_answer.set(self.now());
                             continue;
@@ -434,15 +446,16 @@
         Ok(answer)
     }
 
-    /// Makes one call, and accepts each answer that page 0 or a further page can have, the ends included. The
-    /// answer must be well-formed.
+    /// Makes one call, and accepts each well-formed answer that a poll (page 0) or the request of a further
+    /// page can have, including those that end the query without a result: declined (503, 504) and failed
+    /// (500).
     async fn call(
         &self, connection: &mut PooledConnection, method: &str, path: &str, fields: &[(&str, &str)],
         body: &[u8], page: usize,
     ) -> Result<CallAnswer, CallError> {
         let head = request_head(method, path, self.engine.address, fields, body.len());
         let mut answer = CallAnswer::default();
-        let (mut note, mut value, mut spent, mut wanted, mut stats) = (None, None, None, None, None);
+        let (mut progress, mut value, mut work_ms, mut memory, mut stats) = (None, None, None, None, None);
         let mut is_valid = true;
         let mut number = |text: &str| {
             let number = parse_measurement(text);
@@ -467,13 +480,13 @@
             } else if is("X-Batch") {
                 answer.page = text.parse().ok();
             } else if is("X-Result") {
-                note = Some(text.to_owned());
+                progress = Some(text.to_owned());
             } else if is("X-Num") {
                 value = number(text);
             } else if is("X-Spent") {
-                spent = number(text);
+                work_ms = number(text);
             } else if is("X-Wanted") {
-                wanted = number(text);
+                memory = number(text);
             } else if is("X-Stats") {
                 stats = Some(text.to_owned());
             }
@@ -481,20 +494,20 @@
         let (status, body) = connection.call(&head, body, MAX_PAGE_BYTES, on_write, read_field).await?;
         self.last_answer.set(self.now());
         (answer.status, answer.body) = (status, body);
-        if !is_valid || note.is_some() != value.is_some() || !answer.is_valid_for(page) {
+        if !is_valid || progress.is_some() != value.is_some() || !answer.is_valid_for(page) {
             connection.reusable = false;
             return Err(CallError::Malformed("not an answer to this call"));
         }
         if let Some(stats) = stats {
             let _ = self.events.send(Event::LoadReported { engine: self.dispatch.engine, stats }).await;
         }
-        answer.note = note.zip(value);
-        answer.actual_cost = spent.map(|spent| (Span::from_secs(spent / 1e3), wanted.unwrap_or(0.0)));
+        answer.progress = progress.zip(value);
+        answer.actual_cost = work_ms.map(|ms| (Span::from_secs(ms / 1e3), memory.unwrap_or(0.0)));
         Ok(answer)
     }
 
-    async fn forward_progress(&self, note: &str, value: f64) {
-        let progress = match (note, value) {
+    async fn forward_progress(&self, name: &str, value: f64) {
+        let progress = match (name, value) {
             ("pct", share) => Progress::Fraction(share.min(1.0)),
             ("overflow", missing) => Progress::Spills(missing),
             ("queued", 1.0) => Progress::WaitsForMemory,
@@ -513,24 +526,24 @@
         let held = self.engine.context.result_memory.acquire(self.dispatch.statement.holder, max_bytes).await;
         let (count, mut bytes, mut pages) = (first.pages, first.body.len(), vec![first.body]);
         while pages.len() < count {
-            let (answer, same) = self.request_page(pages.len(), Some(connection)).await?;
+            let (answer, used_connection) = self.request_page(pages.len(), Some(connection)).await?;
             bytes += answer.body.len();
             if answer.status != 200 || bytes > MAX_RESULT_BYTES {
                 return Err(Outcome::Error);
             }
-            connection = same;
+            connection = used_connection;
             pages.push(answer.body);
         }
         Ok(QueryResult::new(pages, held))
     }
 
-    /// Sends new priorities to the engine until the query's deadline passes or it is called off.
+    /// Sends new priorities to the engine until the job's deadline passes or the dispatch is cancelled.
     async fn wait_for_stop(&self) -> Outcome {
         let late = async {
             self.engine.context.clock.sleep_until(self.dispatch.deadline).await;
             Outcome::TimedOut
         };
-        let called_off = async {
+        let cancelled = async {
             loop {
                 match self.priorities.recv().await {
                     Ok(priority) if !self.priorities.is_closed() => {
@@ -544,9 +557,11 @@
                 }
             }
         };
-        late.or(called_off).await
+        late.or(cancelled).await
     }
 
+    /// Logs that a call got no answer (event `unheard`). `what` names the call in the log line, such as
+    /// "asked" for a poll or the request of a page, or "deleted" for a DELETE.
     pub fn log_no_answer(&self, what: &str, error: &CallError) {
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
         log::debug!(event = "unheard", job = job.as_str(), number, what; "{what}: {error}");
@@ -558,13 +573,13 @@
 }
 
 impl CallAnswer {
-    /// Whether it can be the answer to a call for this page.
+    /// Whether this can be the answer to a call for the page.
     fn is_valid_for(&self, page: usize) -> bool {
         match self.status {
             202 => page == 0,
             200 if page == 0 => {
-                let own = self.page.is_none_or(|page| page == 0);
-                own && (1..=MAX_PAGES).contains(&self.pages) && are_complete_rows(&self.body)
+                let is_first_page = self.page.is_none_or(|page| page == 0);
+                is_first_page && (1..=MAX_PAGES).contains(&self.pages) && are_complete_rows(&self.body)
             }
             200 => self.page == Some(page) && are_complete_rows(&self.body),
             503 | 504 => self.declined,
--- a/crates/router/src/discovery/calls.rs
+++ b/crates/router/src/discovery/calls.rs
@@ -1,6 +1,7 @@
 //! The concurrent calls to discovery, and when the next one is due. A call that is answered late is not
-//! abandoned: others run beside it, so that a silent connection is found out within the grace period, and the
-//! answers of a merely slow discovery still arrive.
+//! abandoned; others run beside it. So a connection that went silent is detected within the grace period,
+//! after which nothing may be sent to an engine that drains or is gone, and the answers of a discovery that
+//! is only slow are still received.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -19,7 +20,7 @@
 /// A call under way; dropping it closes its connection.
 pub type Call<T, E> = Pin<Box<dyn Future<Output = Result<T, E>>>>;
 
-/// Whether the request was written to a connection that is up; the call sets it.
+/// Whether bytes of the request were written to an established connection. The call itself sets this flag.
 pub type RequestWritten = Rc<Cell<bool>>;
 
 struct PendingCall<T, E> {
@@ -42,7 +43,8 @@
 /// The calls under way, the oldest first.
 pub struct Calls<T, E> {
     pending: Vec<PendingCall<T, E>>,
-    /// Calls to earlier addresses: only an answer to one of them counts, not its failure or delay.
+    /// Calls to earlier addresses. An answer to one of them is returned like any other; one that fails is
+    /// dropped, and one that is late makes no other call due.
     former: Vec<PendingCall<T, E>>,
 }
 
@@ -52,12 +54,13 @@
     }
 
     /// Returns when one more call is due, if any is under way. Threat: a connection goes silent while it
-    /// should carry a notice to drain, or does not come up; so one more call is due an interval after the
-    /// youngest. If more than `unslowed_calls` requests were written and none was answered, discovery itself
-    /// is overloaded, and each further call would add to the load: the interval doubles with each.
-    pub fn due(&self, interval: Span, unslowed_calls: usize) -> Option<Moment> {
+    /// should carry a notice that an engine drains, or can't be established; so one more call is due an
+    /// interval after the youngest. If more than `backoff_threshold` requests were written and none was
+    /// answered, discovery itself is overloaded, and each further call would add to the load: the interval
+    /// doubles with each.
+    pub fn due(&self, interval: Span, backoff_threshold: usize) -> Option<Moment> {
         let written = self.pending.iter().filter(|call| call.is_written.get()).count();
-        let intervals = f64::from(1 << written.saturating_sub(unslowed_calls));
+        let intervals = f64::from(1 << written.saturating_sub(backoff_threshold));
         self.pending.last().map(|youngest| youngest.began + interval.mul_f64(intervals))
     }
 
@@ -111,7 +114,7 @@
         Poll::Pending
     }
 
-    /// Notes that calls go to another address from now on. Threat: discovery moves several times in a row,
+    /// Records that calls go to another address from now on. Threat: discovery moves several times in a row,
     /// each time while a late answer that would have reported a change is still pending. The youngest calls
     /// to the old addresses are kept until they are answered.
     pub fn moved(&mut self) {
@@ -138,25 +141,26 @@
         Self { max_delay, usual_interval, max_unanswered, response_time: Span::ZERO }
     }
 
-    /// Notes the response time of a call; earlier response times decay.
-    pub fn note_response_time(&mut self, response_time: Span) {
+    /// Records the response time of a call; earlier response times decay.
+    pub fn record_response_time(&mut self, response_time: Span) {
         self.response_time = response_time.max(self.response_time.mul_f64(RESPONSE_TIME_DECAY));
     }
 
-    /// Returns the interval between calls. Threat: discovery answers late, and with what it knew as the call
-    /// came in: a change is then received only with the answer to the next call, one interval and one
-    /// response time later. Cost: if discovery is late because it is overloaded, it gets up to the maximum
-    /// number of concurrent calls. If even these could not keep the time limit, the interval is the usual
-    /// one.
+    /// Returns the interval between calls. Threat: discovery answers a call late, with the events that it
+    /// knew when the call arrived. A later change is then received only with the answer to the next call, one
+    /// interval and one response time later. Cost: if discovery is late because it is overloaded, it receives
+    /// up to the maximum number of concurrent calls. If even these could not keep the time limit, the
+    /// interval is the usual one.
     pub fn interval(&self) -> Span {
-        let in_time = self.max_delay.saturating_sub(self.response_time);
+        let max_interval = self.max_delay.saturating_sub(self.response_time);
         let min_interval = self.response_time.mul_f64(1.0 / (MAX_CALLS - 1) as f64);
-        if in_time < min_interval { self.usual_interval } else { in_time.min(self.usual_interval) }
+        if max_interval < min_interval { self.usual_interval } else { max_interval.min(self.usual_interval) }
     }
 
-    /// Returns how many calls may be under way before the interval grows: as many as there are if response
-    /// times stay as they are.
-    pub fn unslowed_calls(&self) -> usize {
+    /// Returns how many calls may be unanswered before the interval grows: one more than are under way at
+    /// once at the present interval and response time, but no fewer than `max_unanswered` and no more than
+    /// `MAX_CALLS`.
+    pub fn backoff_threshold(&self) -> usize {
         let concurrent = (self.response_time.secs() / self.interval().secs()).ceil() as usize;
         self.max_unanswered.max(concurrent + 1).min(MAX_CALLS)
     }
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! The discovery actor: it requests the next events again and again and forwards them without a gap.
+//! The discovery actor: it keeps requesting the next events by long polling and forwards them without a gap.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,15 +21,15 @@
 use crate::starts::EventTime;
 
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// Longest time for which discovery keeps a call open.
-const MAX_PATIENCE: Span = Span::from_micros(5_000_000);
+/// Maximum time for which a call asks discovery to keep it open.
+const MAX_POLL_WAIT: Span = Span::from_micros(5_000_000);
 /// Part of the grace period for which a call asks to be kept open: a change has to be received within the
-/// grace period even if the open connection went silent.
-const PATIENCE_PART: f64 = 0.25;
+/// grace period even if the connection of the open call went silent.
+const POLL_WAIT_PART: f64 = 0.25;
 /// A call is overdue after this many times the wait that it asks for, and another one is sent.
 const OVERDUE_FACTOR: f64 = 1.5;
-/// Number of unanswered calls before the interval grows: two in a row may have met a discovery that was
-/// paused.
+/// Minimum number of unanswered calls before the interval grows: two in a row may be unanswered because the
+/// discovery process was paused.
 const MAX_UNANSWERED_CALLS: usize = 3;
 /// Part of the grace period within which a change has to be received; the rest is for processing it.
 const RECEIVE_PART: f64 = 0.95;
@@ -38,9 +38,9 @@
 /// Maximum duration of a call, connecting included.
 const CALL_TIMEOUT: Span = Span::from_micros(30_000_000);
 
-/// Number of times an event that can't be read is requested again, since that may be noise on the connection.
-/// Threat: a line that is malformed for good would hide all that follows it, notices to drain included. After
-/// this many times, the lines that can be read are used.
+/// Number of times that events which can't be read are requested again, since the fault may be one of the
+/// connection. Threat: a permanently malformed line would hide all that follow it, including notices that an
+/// engine drains. After this many times, the lines that can be read are used.
 const MAX_READ_FAILURES: usize = 3;
 
 /// The new address of discovery, and the events that were known with it.
@@ -49,7 +49,7 @@
     pub known_events: Value,
 }
 
-/// An answer of discovery, and its connection if that can carry another call.
+/// The events in an answer of discovery, and its connection if that can carry another call.
 type Answer = (Value, Option<Connection>);
 
 enum Input {
@@ -63,11 +63,11 @@
     clock: Clock, address: SocketAddr, grace: Span, last: u64, moves: Receiver<DiscoveryMove>,
     events: Sender<Event>, freshness: ListFreshness,
 ) {
-    let patience = grace.mul_f64(PATIENCE_PART).min(MAX_PATIENCE);
+    let poll_wait = grace.mul_f64(POLL_WAIT_PART).min(MAX_POLL_WAIT);
     let follower = Follower {
         clock,
         address,
-        patience,
+        poll_wait,
         last,
         events,
         freshness,
@@ -75,7 +75,7 @@
         calls: Calls::new(),
         pacing: CallPacing::new(
             grace.mul_f64(RECEIVE_PART),
-            patience.mul_f64(OVERDUE_FACTOR),
+            poll_wait.mul_f64(OVERDUE_FACTOR),
             MAX_UNANSWERED_CALLS,
         ),
         idle_connection: None,
@@ -91,7 +91,7 @@
     clock: Clock,
     address: SocketAddr,
     /// How long discovery may keep a call open while it has no event.
-    patience: Span,
+    poll_wait: Span,
     last: u64,
     events: Sender<Event>,
     freshness: ListFreshness,
@@ -123,7 +123,7 @@
                 Input::Ended(EndedCall { began, is_former, outcome: Ok((bulletin, connection)) }) => {
                     let connection = connection.filter(|_| !is_former);
                     if !is_former {
-                        self.pacing.note_response_time(self.clock.now().since(began));
+                        self.pacing.record_response_time(self.clock.now().since(began));
                     }
                     let forwarded = self.handle_answer(bulletin, connection).await;
                     if forwarded.is_ok() && !is_former {
@@ -158,14 +158,14 @@
 
     /// Returns when the next call is due.
     fn due(&self) -> Moment {
-        // A router that knows no engine yet can break no rule there, and each answer to it is the complete
-        // list.
-        let (span, unslowed_calls) = if self.last == 0 {
+        // A router that knows no engine yet can't send to one that drains or is gone, and each answer to it
+        // is the complete list.
+        let (span, backoff_threshold) = if self.last == 0 {
             (self.pacing.usual_interval, 1)
         } else {
-            (self.pacing.interval(), self.pacing.unslowed_calls())
+            (self.pacing.interval(), self.pacing.backoff_threshold())
         };
-        let overdue = self.calls.due(span, unslowed_calls);
+        let overdue = self.calls.due(span, backoff_threshold);
         match (self.retry_at, overdue) {
             (Some(retry), Some(overdue)) => retry.min(overdue),
             (retry, overdue) => retry.or(overdue).unwrap_or_default(),
@@ -178,11 +178,11 @@
             return;
         }
         self.retry_at = None;
-        // After the process was paused, each query waits for this answer, so discovery has to give it at
+        // After this process was paused, each query waits for this answer, so discovery has to send it at
         // once.
-        let patience = if self.freshness.is_stale() { Span::ZERO } else { self.patience };
+        let poll_wait = if self.freshness.is_stale() { Span::ZERO } else { self.poll_wait };
         let now = self.clock.now();
-        let path = format!("/bulletins?after={}&patience={}", self.last, patience.micros() / 1000);
+        let path = format!("/bulletins?after={}&patience={}", self.last, poll_wait.micros() / 1000);
         let idle_connection = self.idle_connection.take().filter(Connection::is_ready);
         let is_written = RequestWritten::default();
         let call = timed_call(
@@ -228,7 +228,7 @@
 
     /// Schedules another call soon, on a new connection.
     fn handle_failure(&mut self, fault: String) {
-        self.retry_at = Some(self.clock.now() + self.patience.mul_f64(PAUSE_PART));
+        self.retry_at = Some(self.clock.now() + self.poll_wait.mul_f64(PAUSE_PART));
         if fault != self.last_fault {
             log::warn!(event = "discovery_failed"; "discovery: {fault}");
         }
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -20,7 +20,7 @@
 use crate::clock::{Clock, sleep};
 use crate::exchange::{Answer, Event, MALFORMED, Responder, Statement, WaitingClient};
 use crate::frontends::rpc::codec::{self, Malformed, MessageScanner};
-use crate::frontends::rpc::connections::{Client, Registration};
+use crate::frontends::rpc::connections::{ClientConnection, Registration};
 use crate::frontends::rpc::request::RequestLimits;
 use crate::guards::{Guards, Refusal, Step};
 use crate::memory::{Holder, MemoryBudget, MemoryPermit};
@@ -29,8 +29,8 @@
 
 /// Maximum number of open requests of a connection: 32, and 8 more whose cancellation is on its way.
 const MAX_OPEN_REQUESTS: usize = 32 + 8;
-/// Maximum number of answers that the frontend gives by itself (pongs and refusals) and a client has not
-/// taken; beyond it, the client is not read.
+/// Maximum number of answers that the frontend gives by itself (pongs and refusals) and that the client of a
+/// connection has not received yet; beyond it, nothing more is read from the client.
 const MAX_IMMEDIATE_ANSWERS: usize = 32;
 /// Maximum length of a message. A message longer than `READ_BUFFER_BYTES` is read into memory that all
 /// clients share.
@@ -48,7 +48,7 @@
 /// Interval at which a client that is not being read is checked for a close.
 const CLOSE_CHECK_INTERVAL: Span = Span::from_micros(50_000);
 /// How long a connection that the router closes waits for the client's close. Data written longer ago than
-/// this is taken to have arrived, as far as that can be known.
+/// this is assumed to have arrived, which can't be known for certain.
 const CLOSE_TIMEOUT: Span = Span::from_micros(100_000);
 /// Memory charged for a job in addition to its statement, for its entries in all tables and its tasks.
 const JOB_OVERHEAD_BYTES: usize = 8 * 1024;
@@ -65,12 +65,12 @@
     pub message_memory: MemoryBudget,
     /// The retry delay sent to a client whose request is refused here.
     pub come_back: Option<Span>,
-    /// Number of answers owed on all connections.
+    /// Number of answers owed on all connections: requests that were received and are not answered yet.
     pub answers_owed: Rc<Cell<usize>>,
     /// Minimum rates at which a client must send a message, and receive its answers.
     pub min_send_rate: MinRate,
     pub min_receive_rate: MinRate,
-    /// Bytes that a connection may read or write before the others' turn.
+    /// Bytes that a connection may read or write before it yields to other tasks.
     pub quantum_bytes: usize,
     pub loop_ticks: LoopTicks,
     pub guards: Guards,
@@ -81,19 +81,19 @@
 struct OwedAnswer {
     _permit: SemaphoreGuardArc,
     answers_owed: Rc<Cell<usize>>,
-    peer: Rc<Client>,
+    connection: Rc<ClientConnection>,
 }
 
 impl Drop for OwedAnswer {
     fn drop(&mut self) {
         self.answers_owed.set(self.answers_owed.get() - 1);
-        self.peer.open_requests.set(self.peer.open_requests.get() - 1);
-        self.peer.recheck_close();
+        self.connection.open_requests.set(self.connection.open_requests.get() - 1);
+        self.connection.recheck_close();
     }
 }
 
-/// An answer on its way to a client. Boxed, because each connection's outbox has a slot for every answer that
-/// may be owed at once, and most connections are owed none.
+/// An answer on its way to a client. It is boxed, because each connection's outbox has a slot for every
+/// answer that may be owed at once, and most connections await none.
 struct Outgoing {
     number: u32,
     answer: Answer,
@@ -103,7 +103,7 @@
 /// The jobs of a connection that await an answer, by request number; an answer removes its entry.
 type OpenJobs = Rc<RefCell<BTreeMap<u32, Rc<Statement>>>>;
 
-/// A job's entry among them, removed on drop.
+/// A job's entry in `OpenJobs`, which is removed on drop.
 struct OpenJob {
     open_jobs: OpenJobs,
     number: u32,
@@ -130,19 +130,20 @@
     let (outbox, answers) = async_channel::bounded(MAX_OPEN_REQUESTS + MAX_IMMEDIATE_ANSWERS);
     let (request_permits, immediate_permits) =
         (Arc::new(Semaphore::new(MAX_OPEN_REQUESTS)), Arc::new(Semaphore::new(MAX_IMMEDIATE_ANSWERS)));
-    let (peer, clock, guards) = (registration.peer.clone(), context.clock, context.guards.clone());
+    let (connection, clock, guards) =
+        (registration.connection.clone(), context.clock, context.guards.clone());
     let address =
-        socket.stream.get_ref().peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
+        socket.stream.get_ref().peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
     let holder = Holder { connection: client, address };
     let (min_receive_rate, turn) = (context.min_receive_rate, DeficitCounter::new(context.quantum_bytes));
-    let (reader_peer, open_jobs) = (peer.clone(), OpenJobs::default());
+    let (reader_connection, open_jobs) = (connection.clone(), OpenJobs::default());
     let reader = Reader {
         client,
         holder,
         request_permits,
         immediate_permits,
         outbox,
-        peer: reader_peer,
+        connection: reader_connection,
         last_number: Cell::new(0),
         arrivals: ArrivalTimes::new(arrived, clock, context.loop_ticks.clone()),
         immediate_credit: Cell::new((REFUSAL_BURST, clock.now())),
@@ -164,7 +165,7 @@
         future::pending().await
     };
     let written = async {
-        match write_answers(&socket, answers, &peer, clock, min_receive_rate, turn).await {
+        match write_answers(&socket, answers, &connection, clock, min_receive_rate, turn).await {
             Ok(()) => {}
             Err(WriteError::TooSlow(figures)) => {
                 log::debug!(event = "client_too_slow", client; "client {client}: received too slowly: {figures}");
@@ -176,14 +177,14 @@
     };
     let closed = async {
         registration.wait_for_close(clock).await;
-        if peer.open_requests.get() > 0 {
+        if connection.open_requests.get() > 0 {
             guards.record_violation(Step::Close, Refusal::AnswerOwed, &format!("of client {client}"));
         }
     };
     read.or(written).or(closed).await;
     // With nothing unread and no answer under way, a plain close has the same effect at once, which frees the
     // descriptor sooner.
-    let is_quiet = clock.now().since(peer.last_activity.get()) >= CLOSE_TIMEOUT;
+    let is_quiet = clock.now().since(connection.last_activity.get()) >= CLOSE_TIMEOUT;
     if !is_quiet || matches!(socket.peek(), PendingInput::Bytes) {
         socket.close_gracefully(CLOSE_TIMEOUT).await;
     }
@@ -259,7 +260,7 @@
 }
 
 async fn write_answers(
-    socket: &Socket, answers: Receiver<Box<Outgoing>>, peer: &Client, clock: Clock,
+    socket: &Socket, answers: Receiver<Box<Outgoing>>, connection: &ClientConnection, clock: Clock,
     min_receive_rate: MinRate, mut turn: DeficitCounter,
 ) -> Result<(), WriteError> {
     let (mut head, mut tail) = (Vec::new(), Vec::new());
@@ -274,13 +275,13 @@
         parts.extend(pages.iter().map(Vec::as_slice));
         parts.push(&tail);
         write_at_min_rate(&socket.stream, &parts, clock, min_receive_rate).await?;
-        peer.last_activity.set(clock.now());
+        connection.last_activity.set(clock.now());
         yield_after_turn(&mut turn, parts.iter().map(|part| part.len()).sum()).await;
     }
     Ok(())
 }
 
-/// Yields to the other tasks once a turn is used up.
+/// Yields to the other tasks once the byte quantum of a turn is used up.
 async fn yield_after_turn(turn: &mut DeficitCounter, bytes: usize) {
     if turn.spend(bytes) {
         loop {
@@ -298,7 +299,7 @@
     request_permits: Arc<Semaphore>,
     immediate_permits: Arc<Semaphore>,
     outbox: Sender<Box<Outgoing>>,
-    peer: Rc<Client>,
+    connection: Rc<ClientConnection>,
     /// Number of the last request. Numbers must rise, so that no two answers can be confused.
     last_number: Cell<u32>,
     arrivals: ArrivalTimes,
@@ -312,7 +313,7 @@
 impl Reader {
     /// Waits until all requests are answered, or the client has closed its side.
     async fn wait_until_answered(&self, socket: &Socket) {
-        while self.peer.open_requests.get() > 0 && !socket.is_closed_by_peer() {
+        while self.connection.open_requests.get() > 0 && !socket.is_closed_by_peer() {
             sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
@@ -356,8 +357,8 @@
                 deadline = Some(self.context.clock.now() + MESSAGE_TIMEOUT);
                 monitor = Some(RateMonitor::start(self.context.clock.now(), self.context.min_send_rate));
             }
-            self.peer.has_unprocessed_bytes.set(filled > 0);
-            self.peer.recheck_close();
+            self.connection.has_unprocessed_bytes.set(filled > 0);
+            self.connection.recheck_close();
             if !self.delay_read(socket, refused).await {
                 return Ok(());
             }
@@ -369,18 +370,18 @@
                 Some(count) => count.map_err(ReadEnd::Broken)?,
                 None => return Err(self.too_slow(monitor)),
             };
-            self.peer.has_unprocessed_bytes.set(true);
+            self.connection.has_unprocessed_bytes.set(true);
             filled += count;
             if let Some(monitor) = &mut monitor {
                 monitor.record(self.context.clock.now(), count);
             }
             yield_after_turn(&mut turn, count).await;
-            self.peer.last_activity.set(self.context.clock.now());
+            self.connection.last_activity.set(self.context.clock.now());
         }
     }
 
-    /// Delays reading after that many more immediate answers, and returns whether the client is still
-    /// connected.
+    /// Delays reading after `refused` more immediate answers if these exceed the credit, and returns whether
+    /// the client is still connected.
     async fn delay_read(&self, socket: &Socket, refused: usize) -> bool {
         let (credit, since) = self.immediate_credit.get();
         let now = self.context.clock.now();
@@ -397,28 +398,28 @@
         true
     }
 
-    /// The end of a client that was too slow within a message, with the measured rate.
+    /// Returns the reason for closing a client that sent a message too slowly, with the measured rate.
     fn too_slow(&self, monitor: Option<RateMonitor>) -> ReadEnd {
         let (bytes, rate) = monitor.map_or((0, 0.0), |monitor| monitor.stats(self.context.clock.now()));
         ReadEnd::TooSlow(format!("{bytes} bytes at {rate:.0} a second"))
     }
 
-    /// Reads the next bytes; `None` if the message under way is late. Threat: clients that vanish, stay idle
-    /// or stall within a message would hold their descriptors. A client that awaits an answer is not closed
-    /// between messages.
+    /// Reads the next bytes. Returns `None` if the rest of a message did not arrive in time. Threat: clients
+    /// that vanish, stay idle or stall within a message would hold their descriptors. A client that awaits an
+    /// answer is not closed between messages.
     async fn read_some(
         &self, socket: &Socket, buffer: &mut [u8], deadline: Option<Moment>,
     ) -> Result<Option<io::Result<usize>>, ReadEnd> {
         let clock = self.context.clock;
         loop {
-            let until = deadline.unwrap_or_else(|| self.peer.last_activity.get() + IDLE_TIMEOUT);
+            let until = deadline.unwrap_or_else(|| self.connection.last_activity.get() + IDLE_TIMEOUT);
             let left = until.since(clock.now());
             // Bytes that are still unread because reads were interrupted arrived in time.
             let has_bytes = matches!(socket.peek(), PendingInput::Bytes);
-            if left == Span::ZERO && self.peer.has_unprocessed_bytes.get() && !has_bytes {
+            if left == Span::ZERO && self.connection.has_unprocessed_bytes.get() && !has_bytes {
                 return Ok(None);
             }
-            if left == Span::ZERO && self.peer.can_close(clock.now()) {
+            if left == Span::ZERO && self.connection.can_close(clock.now()) {
                 return Err(ReadEnd::Idle);
             }
             let left = if left == Span::ZERO { IDLE_TIMEOUT } else { left };
@@ -479,18 +480,18 @@
         }
     }
 
-    /// Returns the responder for an answer that is given at once. It waits while the client takes no answers,
-    /// which slows the client down.
+    /// Returns the responder for an answer that is given at once. It waits while the client receives no
+    /// answers, which slows the client down.
     async fn immediate_responder(&self, number: u32) -> Responder {
         let permit = self.immediate_permits.acquire_arc().await;
         self.responder(number, permit, None)
     }
 
     fn responder(&self, number: u32, permit: SemaphoreGuardArc, open_job: Option<OpenJob>) -> Responder {
-        let (peer, answers_owed) = (self.peer.clone(), self.context.answers_owed.clone());
+        let (connection, answers_owed) = (self.connection.clone(), self.context.answers_owed.clone());
         answers_owed.set(answers_owed.get() + 1);
-        peer.open_requests.set(peer.open_requests.get() + 1);
-        let (owed, outbox) = (OwedAnswer { _permit: permit, answers_owed, peer }, self.outbox.clone());
+        connection.open_requests.set(connection.open_requests.get() + 1);
+        let (owed, outbox) = (OwedAnswer { _permit: permit, answers_owed, connection }, self.outbox.clone());
         // The outbox has a slot for each answer. If the connection is gone, the answer is dropped.
         Responder::new(number, move |answer| {
             drop(open_job);
@@ -513,7 +514,7 @@
             .try_acquire(self.holder, request.text.len() + JOB_OVERHEAD_BYTES)
             .ok_or_else(full)?;
         // The connection itself belongs to its actor alone.
-        let (socket, is_gone) = (self.peer.socket.clone(), self.is_gone.clone());
+        let (socket, is_gone) = (self.connection.socket.clone(), self.is_gone.clone());
         let connected =
             move || !is_gone.get() && socket.upgrade().is_some_and(|socket| !socket.is_closed_by_peer());
         let statement = Rc::new(Statement {
