--- a/crates/gossip/src/engine_events.rs
+++ b/crates/gossip/src/engine_events.rs
@@ -1,4 +1,5 @@
-//! Turns the own experience with engines into observations for other members, and compares it with theirs.
+//! Turns this instance's own results with engines into observations for other members, and compares them with
+//! the observations of those.
 
 use woadhook::{Moment, Outcome};
 
@@ -11,7 +12,7 @@
 
 /// Credit that a member regains for each confirmed observation.
 const CREDIT_PER_CONFIRMATION: f64 = 0.25;
-/// An own observation is not sent if fresh observations of this many other members report the same.
+/// An observation is not sent if fresh observations of this many other members report the same.
 const MAX_AGREEING_REPORTERS: usize = 4;
 
 impl Gossip {
@@ -29,7 +30,7 @@
         if condition != EngineCondition::Well {
             let is_suspicion =
                 |condition| matches!(condition, EngineCondition::Silent | EngineCondition::Reset);
-            for reporter in self.observations.resolve(engine, None, is_suspicion) {
+            for reporter in self.observations.take_suspicions(engine, None, is_suspicion) {
                 self.update_credit(reporter, engine, true);
             }
         }
@@ -51,9 +52,10 @@
         self.clear_suspicions(now, engine, None);
     }
 
-    /// Clears the suspicions that others reported about an engine, as own experience contradicts them.
+    /// Clears the suspicions that others reported about an engine, as this instance's own results contradict
+    /// them.
     pub(crate) fn clear_suspicions(&mut self, now: Moment, engine: &str, reservation_type: Option<&str>) {
-        let reporters = self.observations.resolve(engine, reservation_type, |_| true);
+        let reporters = self.observations.take_suspicions(engine, reservation_type, |_| true);
         if reporters.is_empty() {
             return;
         }
@@ -63,7 +65,8 @@
         self.push_peer_report(now, engine, reservation_type.map(str::to_owned));
     }
 
-    /// Raises or lowers a member's credit after own experience confirmed or contradicted its observation.
+    /// Raises or lowers a member's credit after this instance's own results confirmed or contradicted its
+    /// observation.
     pub(crate) fn update_credit(&mut self, reporter: MemberId, engine: &str, confirmed: bool) {
         let Some(member) = self.members.get_mut(reporter) else { return };
         let before = member.credit();
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Signs and queues an own observation, unless enough others already report the same.
+    /// Signs and queues an observation of this instance, unless enough others already report the same.
     pub(crate) fn publish_observation(
         &mut self, now: Moment,
         OwnObservation { engine, reservation_type, condition, confidence }: OwnObservation,
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -20,7 +20,7 @@
     envelope_bytes,
 };
 
-/// The time over which the budgets of signature checks and of datagrams may be saved up.
+/// The time over which the budgets of signature checks and of datagrams accumulate while they are not used.
 const BUDGET_BURST: Span = Span::from_micros(500_000);
 /// Fraction of the signature checks that datagrams from unknown addresses may use.
 const UNKNOWN_SENDER_SHARE: f64 = 0.25;
@@ -60,6 +60,7 @@
     MemberDistrusted,
     PassEnded,
     PassEnding,
+    /// Another member reported this instance as failed.
     SelfSuspected,
     ObservationReceived,
     ObservationSent,
@@ -178,7 +179,7 @@
     pub(crate) sent: Moment,
 }
 
-/// The core of one instance: its keys, its member table and what it knows about engines from others.
+/// The core of one instance: its keys, its member table and the observations about engines.
 pub struct Gossip {
     pub(crate) identity: Identity,
     pub(crate) trust_store: TrustStore,
@@ -207,7 +208,7 @@
     pub(crate) next_period: Moment,
     pub(crate) next_pull: Moment,
     pub(crate) pull_cursor: MemberId,
-    /// How much the view most recently received from another member differs from the own one.
+    /// How much the view most recently received from another member differs from this instance's own.
     pub(crate) view_difference: ViewDifference,
     pub(crate) last_refutation: Option<Moment>,
     pub(crate) last_sweep: Moment,
@@ -316,7 +317,7 @@
         self.members.get(member).map_or(0.0, |member| member.credit())
     }
 
-    /// Returns the own member record, for filling the tables of others in advance.
+    /// Returns this instance's member record, for filling the tables of others in advance.
     pub fn own_record(&self) -> Rc<MemberRecord> {
         self.record.clone()
     }
@@ -407,9 +408,10 @@
         self.item_queue.add(Topic::Revocation(revocation.member), out.into_bytes().into());
     }
 
-    /// Signs a new own record with a higher incarnation, `at_least` or more.
-    pub(crate) fn renew_record(&mut self, now: Moment, at_least: u64) {
-        let incarnation = (self.record.incarnation + 1).max(at_least);
+    /// Signs a new record of this instance with the next incarnation, or with `min_incarnation` if that is
+    /// greater.
+    pub(crate) fn renew_record(&mut self, now: Moment, min_incarnation: u64) {
+        let incarnation = (self.record.incarnation + 1).max(min_incarnation);
         self.record = Rc::new(MemberRecord::issue(&self.identity, self.address, incarnation, self.has_left));
         self.last_refutation = Some(now);
         self.queue_own_record();
--- a/crates/gossip/src/item_queue.rs
+++ b/crates/gossip/src/item_queue.rs
@@ -42,7 +42,7 @@
 
 /// Divides how often items other than member records and failure reports count as sent, which gives them
 /// priority. Otherwise, in a network that loses many datagrams, observations and revocations would wait
-/// behind ever new records, as members are reported as failed and refute it all the time.
+/// behind a steady flow of new records, as members are reported as failed and refute it again and again.
 const PRIORITY_FACTOR: u32 = 4;
 
 type QueueKey = (u32, u8, std::cmp::Reverse<u64>, Topic);
--- a/crates/gossip/src/key_changes.rs
+++ b/crates/gossip/src/key_changes.rs
@@ -34,8 +34,9 @@
             self.members.replace_own_id(identity.id());
             (self.datagram_number, self.observation_number, self.probes) = (0, 0, Vec::new());
         }
-        // Threat: if an operator key is stolen, members admitted with it would keep being heard through
-        // others even after the key is no longer trusted. They are removed here, with what they reported.
+        // Threat: if an operator key is stolen, items of members admitted with it would still be accepted
+        // when others relay them, even after the key is no longer trusted. These members are removed here,
+        // with their observations.
         let untrusted: Vec<_> = self
             .members
             .iter()
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -2,7 +2,7 @@
 //! be slow or disappear.
 //!
 //! The core has no I/O, clock or thread. The host reports received datagrams ([`Gossip::receive`]) and its
-//! own experience ([`Gossip::engine_judged`], [`Gossip::dispatch_ended`], [`Gossip::set_engines`]), and then
+//! own results ([`Gossip::engine_judged`], [`Gossip::dispatch_ended`], [`Gossip::set_engines`]), and then
 //! fetches actions one at a time until there are none left ([`Gossip::next_action`]).
 //! [`Gossip::next_deadline`] returns when to call it again. Random draws come from a seed.
 //!
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -11,15 +11,18 @@
 use crate::keys::{MemberId, hash, micros};
 use crate::wire::{FailureReport, MemberRecord};
 
-/// Number of reporters with different names that make a suspect gone without a failed probe by this instance
-/// itself.
+/// Number of reporters with different names whose failure reports make a suspect gone even if this instance's
+/// own probes did not fail.
 pub const MIN_REPORTERS: usize = 3;
 /// Observations per second, and separately failure reports per second, that are accepted from one member.
 const ITEMS_PER_S: f64 = 4.0;
-/// The time over which a member may save up such a budget.
+/// The time over which such a budget accumulates while it is not used.
 const ITEMS_BURST: Span = Span::from_micros(8_000_000);
-/// Observations of a member with less credit are ignored. Four contradictions in a row lead there.
+/// Observations of a member with less credit are ignored. A contradicted observation halves the credit, so
+/// full credit falls below this after four in a row.
 pub const MIN_CREDIT: f64 = 0.1;
+/// Credit that a member must regain before its observations count again after they were ignored.
+const MIN_RESTORED_CREDIT: f64 = 0.25;
 
 /// Sequence numbers of one incarnation seen recently, so that no datagram counts twice. Reordering by fewer
 /// than 64 numbers is tolerated, as in RFC 6479.
@@ -85,6 +88,8 @@
     credit: f64,
     observation_budget: TokenBucket,
     report_budget: TokenBucket,
+    /// Set when the credit falls below [`MIN_CREDIT`], and cleared when it reaches [`MIN_RESTORED_CREDIT`].
+    /// Meanwhile the credit counts as zero.
     distrusted: bool,
 }
 
@@ -124,7 +129,7 @@
         if self.distrusted { 0.0 } else { self.credit }
     }
 
-    /// Halves the credit after own experience contradicted an observation of the member.
+    /// Halves the credit after this instance's own results contradicted an observation of the member.
     pub fn lower_credit(&mut self) {
         self.credit *= 0.5;
         self.distrusted |= self.credit < MIN_CREDIT;
@@ -133,7 +138,7 @@
     /// Raises the credit by `step`, as time passes or after a confirmed observation.
     pub fn raise_credit(&mut self, step: f64) {
         self.credit = (self.credit + step).min(1.0);
-        self.distrusted &= self.credit < 0.25;
+        self.distrusted &= self.credit < MIN_RESTORED_CREDIT;
     }
 }
 
@@ -144,7 +149,7 @@
     Joined,
     /// The member was gone or had left before, and is live again.
     Back,
-    /// A suspect showed that it is live.
+    /// A suspect proved that it is live.
     Refuted,
     Renewed,
     Left,
@@ -161,11 +166,11 @@
     Counted,
 }
 
-/// A change that happens with time alone.
+/// A change of a member's state that a timeout causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimedChange {
     Gone,
-    /// A member that was suspected for long by too few reporters is live again.
+    /// A member that only few reporters suspected is considered live again after a time.
     Cleared,
     Forgotten,
     /// The member's pass has ended.
@@ -189,7 +194,7 @@
         Self { own_id, members: BTreeMap::new(), capacity, live_count: 0, suspect_count: 0, peer_digest: 0 }
     }
 
-    /// Sets a new own id after this instance changed its key. What is known about the others is kept.
+    /// Replaces this instance's own id after its key changed. The other members are kept.
     pub fn replace_own_id(&mut self, own_id: MemberId) {
         self.remove(own_id);
         self.own_id = own_id;
@@ -249,6 +254,8 @@
                 return MemberChange::TableFull;
             }
             let leaving = record.leaving;
+            // Inserted as not live at first, so that `set_state` below adds a live member to the counts and
+            // the digest.
             let state = State::Left { since: now };
             self.members.insert(id, Member { state: state.clone(), ..Member::new(record, now) });
             if leaving {
@@ -316,7 +323,7 @@
         }
     }
 
-    /// Records that the own probe of a member failed.
+    /// Records that this instance's own probe of a member failed.
     pub fn probe_failed(&mut self, now: Moment, id: MemberId) -> ReportEffect {
         let Some(member) = self.members.get(&id) else { return ReportEffect::Ignored };
         match member.state.clone() {
@@ -377,14 +384,14 @@
         }
     }
 
-    /// Returns whether any member is a suspect, whose state time alone may change soon.
+    /// Returns whether any member is a suspect, whose state a timeout may change soon.
     pub fn has_suspects(&self) -> bool {
         self.suspect_count > 0
     }
 
-    /// Applies the changes that time brought since the last call and returns them. A suspect is gone after
-    /// `suspicion_timeout` if the own probe failed or enough others reported it, and is otherwise cleared
-    /// after twice that time. A member that is gone or has left is forgotten after `forget_after`.
+    /// Applies the timeouts that passed since the last call and returns the changes. A suspect is gone after
+    /// `suspicion_timeout` if this instance's own probe failed or enough others reported it, and is otherwise
+    /// cleared after twice that time. A member that is gone or has left is forgotten after `forget_after`.
     pub fn apply_timeouts(
         &mut self, now: Moment, suspicion_timeout: Span, forget_after: Span, clock_tolerance: Span,
     ) -> Vec<(MemberId, TimedChange, Rc<MemberRecord>)> {
@@ -418,6 +425,7 @@
     }
 
     pub fn remove(&mut self, id: MemberId) {
+        // This takes the member out of the counts and the digest.
         self.set_state(id, State::Gone { since: Moment::default() });
         self.members.remove(&id);
     }
@@ -441,7 +449,8 @@
 /// The id of no member. It stands for the start and the end of the table, and for an unknown member.
 pub const NO_MEMBER: MemberId = MemberId(0);
 
-/// Returns whether an incarnation is ahead of the clock by more than refutations explain.
+/// Returns whether an incarnation is further ahead of the clock than the tolerance and an allowance for
+/// refutations. Incarnations start as Unix time in milliseconds, and each refutation adds 1 or more.
 pub fn is_too_far_ahead(incarnation: u64, now: Moment, clock_tolerance: Span) -> bool {
     const REFUTATION_ALLOWANCE: Span = Span::from_micros(60_000_000);
     incarnation > micros(now + clock_tolerance + REFUTATION_ALLOWANCE) / 1000
--- a/crates/gossip/src/observations.rs
+++ b/crates/gossip/src/observations.rs
@@ -12,8 +12,8 @@
 /// Maximum number of reporters kept for an engine and reservation type. A new one replaces the oldest
 /// observation.
 pub const MAX_REPORTERS: usize = 8;
-/// The suspicion raised by one reporter with full credit. Each further reporter adds the same fraction of the
-/// rest up to 1.
+/// The suspicion raised by one reporter with full credit. Each further reporter adds this fraction of the
+/// difference between the suspicion so far and 1.
 const SUSPICION_PER_REPORTER: f64 = 0.5;
 /// The suspicion never exceeds this, whatever the number of reporters.
 pub const MAX_SUSPICION: f64 = 0.875;
@@ -45,7 +45,7 @@
 /// Why an observation is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The engine is not on the own list, or the observation is about another start of it.
+    /// The engine is not on this instance's engine list, or the observation is about another start of it.
     NotListed,
     /// The observation is too old or its time is too far ahead.
     Stale,
@@ -53,7 +53,8 @@
     NotNewer,
     /// The observations about the engine already name the maximum number of reservation types.
     TooManyTypes,
-    /// As many fresh observations as are kept exist already. More of them would only fill the network.
+    /// [`MAX_REPORTERS`] fresh observations by others are stored already. Another one would only use
+    /// bandwidth.
     EnoughReporters,
 }
 
@@ -72,7 +73,8 @@
         Self { engines: BTreeMap::new(), lifetime, clock_tolerance, max_types }
     }
 
-    /// Sets the engines on the own list, each with its start time (zero if the list does not state it).
+    /// Sets the engines on this instance's engine list, each with its start time (zero if the list does not
+    /// state it).
     pub fn set_engines(&mut self, engines: impl Iterator<Item = (String, Moment)>) {
         let mut old = std::mem::take(&mut self.engines);
         for (name, started_at) in engines {
@@ -194,10 +196,10 @@
         (1.0 - no_suspicion).min(MAX_SUSPICION)
     }
 
-    /// Returns the reporters whose suspicions about an engine, for a reservation type or all types, are
-    /// stored and match. Their observations no longer count, but the observations' numbers are kept, as
-    /// reports that the engine is well.
-    pub fn resolve(
+    /// Stops counting the stored suspicions about an engine whose condition `matches` accepts, and returns
+    /// their reporters. It concerns the suspicions about one reservation type or, with `None`, those about
+    /// all types. Each stays stored as a report that the engine is well, so that its number is kept.
+    pub fn take_suspicions(
         &mut self, engine: &str, reservation_type: Option<&str>, matches: impl Fn(EngineCondition) -> bool,
     ) -> Vec<MemberId> {
         let Some(entry) = self.engines.get_mut(engine) else { return Vec::new() };
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Removes expired observations. An observation's number is kept for as long as an older one could be
-    /// taken for new.
+    /// Removes expired observations. An observation is kept, with its number, for as long as an older one of
+    /// the reporter could be taken for a new one.
     pub fn remove_expired(&mut self, now: Moment) {
         let max_age = self.lifetime + self.clock_tolerance + self.clock_tolerance;
         for entry in self.engines.values_mut() {
--- a/crates/gossip/src/own_observations.rs
+++ b/crates/gossip/src/own_observations.rs
@@ -1,5 +1,5 @@
-//! Decides which of the own experiences with engines are worth reporting to other members, and when they no
-//! longer hold.
+//! Decides which results with engines this instance reports to other members, and when a report no longer
+//! holds.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 
 /// Number of recent outcomes that are considered.
 const MAX_OUTCOMES: u32 = 8;
-/// Number of outcomes that must be known, and of bad ones among them, before anything is reported. As many
-/// good outcomes in a row end a claim.
+/// Minimum number of known outcomes, and of bad ones among them, before anything is reported. The same number
+/// of good outcomes in a row ends a claim.
 const MIN_OUTCOMES: u32 = 4;
 
 /// The recent outcomes of one kind at an engine, the latest in the lowest bit.
@@ -44,12 +44,12 @@
     condition: EngineCondition,
     /// When the claim was last sent.
     sent_at: Moment,
-    /// When own experience last confirmed the claim.
+    /// When a result of this instance last confirmed the claim.
     confirmed_at: Moment,
     confidence: u8,
 }
 
-/// The own experience with one engine. Entries exist for the engines on the list.
+/// This instance's results with one engine. Entries exist for the engines on the list.
 #[derive(Default)]
 struct EngineHistory {
     turned_away: RecentOutcomes,
@@ -59,7 +59,7 @@
     claims: BTreeMap<Option<String>, Claim>,
 }
 
-/// An own observation to be reported.
+/// An observation of this instance that is to be reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnObservation {
     pub engine: String,
@@ -68,14 +68,14 @@
     pub confidence: u8,
 }
 
-/// The own experience with engines and the claims reported from it.
+/// This instance's results with engines and the claims reported from them.
 #[derive(Default)]
 pub struct OwnObservations {
     engines: BTreeMap<String, EngineHistory>,
 }
 
 impl OwnObservations {
-    /// Sets the engines on the own list, and drops what is known of any other.
+    /// Sets the engines on this instance's engine list, and removes the entries of all others.
     pub fn set_engines<'a>(&mut self, engines: impl Iterator<Item = &'a str>) {
         let mut old = std::mem::take(&mut self.engines);
         self.engines = engines.map(|name| (name.to_owned(), old.remove(name).unwrap_or_default())).collect();
@@ -146,8 +146,8 @@
     }
 
     /// Returns claims that still hold and are due to be reported again before the observations expire. A
-    /// claim that rests on outcomes of jobs holds only while such outcomes come. One that the decision module
-    /// made holds until the module judges anew.
+    /// claim that is based on outcomes of jobs holds only while such outcomes continue. One that the decision
+    /// module made holds until the module reports another condition.
     pub fn take_due(&mut self, now: Moment, interval: Span) -> Vec<OwnObservation> {
         let mut observations = Vec::new();
         for (engine, history) in &mut self.engines {
--- a/crates/gossip/src/periodic.rs
+++ b/crates/gossip/src/periodic.rs
@@ -1,4 +1,4 @@
-//! What happens with time alone: pings, failure reports, pings of members that are gone, and pulls of missing
+//! The work that timers trigger: pings, failure reports, pings of members that are gone, and pulls of missing
 //! records.
 
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
         self.actions.pop_front()
     }
 
-    /// Does what is due by `now`: requests for helper pings, pulls and the work of each period.
+    /// Does the work that is due by `now`: requests for helper pings, pulls and the work of each period.
     pub(crate) fn advance(&mut self, now: Moment) {
         let half = self.config.period.mul_f64(0.5);
         let is_late = |probe: &&mut Probe| !probe.helpers_asked && now.since(probe.sent) >= half;
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Nobody got an answer from a member, so this instance sends its own failure report.
+    /// Queues this instance's failure report about a member that answered neither it nor a helper.
     pub(crate) fn report_failure(&mut self, now: Moment, id: MemberId) {
         let effect = self.members.probe_failed(now, id);
         let Some(member) = self.members.get(id) else { return };
@@ -216,13 +216,13 @@
         }
     }
 
-    /// Pings a member that is gone, or a seed. That reunites the halves of a partition and members wrongly
-    /// considered gone.
+    /// Pings a member that is gone, or a seed. So the sides of a partition find each other again, and members
+    /// that were wrongly considered gone come back.
     pub(crate) fn ping_gone_or_seed(&mut self, now: Moment) {
         let gone = self.members.iter().filter(|(_, m)| matches!(m.state, State::Gone { .. }));
         let mut targets: Vec<(MemberId, SocketAddr)> = gone.map(|(id, m)| (id, m.record.address)).collect();
-        // A seed that is live under another address than the listed one is pinged in vain, at this small
-        // cost.
+        // A seed that is live under another address than the listed one is pinged as well, which costs
+        // little.
         let is_known = |address: &SocketAddr| {
             *address == self.address || self.members.live().any(|(_, m)| m.record.address == *address)
         };
--- a/crates/gossip/src/receive.rs
+++ b/crates/gossip/src/receive.rs
@@ -1,5 +1,5 @@
-//! Handles incoming datagrams. Nothing is learned from a datagram before its signature, its sender's pass and
-//! its timestamp have been verified.
+//! Handles incoming datagrams. Nothing in a datagram is used before its signature, its sender's pass and its
+//! timestamp have been verified.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 const PAGES_PER_PULL: usize = 4;
 
 impl Gossip {
-    /// Handles a received datagram. Nothing is learned from it before its signature, its sender's pass and
-    /// its timestamp have been verified.
+    /// Handles a received datagram. Nothing in it is used before its signature, its sender's pass and its
+    /// timestamp have been verified.
     pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
         self.counters.received += 1;
         self.counters.received_bytes += bytes.len() as u64;
@@ -106,8 +106,8 @@
         }
     }
 
-    /// The sender's record is older than the one known here: the sender does not know of its own later start,
-    /// or that it was considered gone. It is sent the known record.
+    /// Sends the known record to a sender whose own record is older: it does not know of a later start of
+    /// its own, or that it was considered gone.
     pub(crate) fn send_newer_record(
         &mut self, now: Moment, from: SocketAddr, record: &MemberRecord, envelope: &Envelope<'_>,
         length: usize,
@@ -127,7 +127,7 @@
         );
     }
 
-    /// Answers a datagram according to its kind, and notes which of the own pings it answers.
+    /// Answers a datagram according to its kind, and removes those of this instance's pings that it answers.
     pub(crate) fn respond(
         &mut self, now: Moment, from: SocketAddr, record: &MemberRecord, envelope: &Envelope<'_>,
         length: usize, was_gone: bool,
@@ -153,6 +153,8 @@
             length.min(MAX_DATAGRAM_BYTES)
         };
         let mut items = Vec::new();
+        // A sender that was considered gone here receives the report, so that it can refute it with a higher
+        // incarnation.
         if was_gone {
             let report = FailureReport::issue(&self.identity, record.id, record.incarnation, now);
             items.push((ItemTag::FailureReport, report.to_bytes().into()));
@@ -202,6 +204,7 @@
                     );
                 }
             }
+            // `about` is the member to ping.
             DatagramKind::PingRequest => {
                 let requester_verified = self
                     .members
@@ -227,6 +230,7 @@
                     });
                 }
             }
+            // `about` is the id after which the records are wanted.
             DatagramKind::Pull => {
                 // A verified address gets several pages at once. Any other address gets one page, no larger
                 // than the request.
@@ -257,7 +261,8 @@
                     }
                 }
             }
-            // Pages may arrive out of order, so only the last page resets the cursor.
+            // `about` is the id after which the next page starts. Pages may arrive out of order, so only the
+            // last page resets the cursor.
             DatagramKind::Page if envelope.about == NO_MEMBER => self.pull_cursor = NO_MEMBER,
             DatagramKind::Direct => {}
             DatagramKind::Page => self.pull_cursor = self.pull_cursor.max(envelope.about),
@@ -283,7 +288,8 @@
         (records, NO_MEMBER)
     }
 
-    /// Compares the view that the sender reports with the own one.
+    /// Compares the view that the sender reports with this instance's own. The difference is large if this
+    /// instance misses more than 5 % of the reported members and one more.
     pub(crate) fn compare_views(&mut self, envelope: &Envelope<'_>) {
         if !matches!(envelope.kind, DatagramKind::Ack | DatagramKind::Page) {
             return;
@@ -357,7 +363,7 @@
 
     pub(crate) fn handle_record(&mut self, now: Moment, known_address: bool, record: MemberRecord) {
         if record.id == self.id() {
-            // The record is this instance's own, from before a restart with a clock that was ahead, or made
+            // The record is one of this instance: from before a restart, when its clock was ahead, or made
             // with a stolen key.
             let is_newer = record.incarnation > self.record.incarnation
                 || record.leaving && record.incarnation == self.record.incarnation;
@@ -397,6 +403,7 @@
             let is_current = report.incarnation == self.record.incarnation
                 && self.last_refutation.is_none_or(|at| now.since(at) >= self.config.period);
             if is_current && self.take_check_budget(now, known_address, 1) && report.is_signed_by(&key) {
+                // Without a minimum, as the next incarnation refutes the report.
                 self.renew_record(now, 0);
                 self.push_event(EventKind::SelfSuspected, None, None, None);
             }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -186,7 +186,7 @@
     Refusing = 3,
     /// Jobs of one reservation type end with errors at the engine.
     Failing = 4,
-    /// The engine does again what it was reported not to do.
+    /// The condition reported before has ended.
     Well = 5,
 }
 
