--- a/crates/accord/src/follower.rs
+++ b/crates/accord/src/follower.rs
@@ -1,4 +1,5 @@
-//! The follower: which state a router takes for the latest, and until when it may act on it.
+//! The follower: it determines which state is the latest that a majority attests, and until when a router may
+//! act on it.
 
 use std::collections::BTreeMap;
 
@@ -75,9 +76,9 @@
 
 impl Follower {
     /// `clock_tolerance` is the maximum difference between clocks, and `lease` is how long voters count an
-    /// attestation as valid. A follower relies on an attestation for `lease` less `clock_tolerance` on its
-    /// own clock. Because the clocks may differ, that can be as short as `lease` less twice
-    /// `clock_tolerance`.
+    /// attestation as valid. A follower relies on an attestation until its own clock shows the time of issue,
+    /// taken from the voter's clock, plus `lease` minus `clock_tolerance`. Because the clocks may differ, it
+    /// can rely on it for as little as `lease` minus twice `clock_tolerance`.
     pub fn new(clock_tolerance: Span, lease: Span, max_content_bytes: usize) -> Self {
         let (voter_set, candidates) = (Vec::new(), Vec::new());
         Self {
@@ -205,7 +206,8 @@
             })
             .collect();
         issue_times.sort_by(|a, b| b.cmp(a));
-        // The lease lasts as long as the oldest attestation among those of the most recent majority.
+        // The times of issue are sorted from new to old. The lease needs a majority of valid attestations, so
+        // it ends with the oldest of the `majority()` newest ones.
         let oldest = issue_times.get(state.proposal.majority() - 1)?;
         Some(*oldest + self.lease.saturating_sub(self.clock_tolerance))
     }
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -4,7 +4,7 @@
 //! A voter is named with its *incarnation*: one start of its process. A voter that was killed and starts from
 //! nothing is another incarnation, whose votes don't count until a state names it. So nothing has to be
 //! stored on a disk. If a majority of the incarnations is lost at once, nothing more is decided until the
-//! operator orders a new epoch with a voter set ([`Node::apply_voter_set`]).
+//! operator begins a new epoch with a voter set ([`Node::apply_voter_set`]).
 //!
 //! A follower takes a state for the latest for as long as a majority of its voters has recently attested that
 //! it is ([`Follower`]). Once the state two steps later is decided, no follower acts on it any more. This
@@ -12,8 +12,8 @@
 //! see `docs/design/accord.md`.
 //!
 //! The crate does no I/O, reads no clock and starts no thread. [`Node::receive`] and similar methods take
-//! input, [`Node::next_action`] returns what the host has to do, and [`Node::next_deadline`] tells when to
-//! call it again.
+//! input, [`Node::next_action`] returns what the host has to do, and [`Node::next_deadline`] returns when
+//! to call it again.
 
 pub mod acceptor;
 pub mod follower;
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -1,5 +1,5 @@
-//! One router's part in the agreement: it offers its vote, votes, proposes, detects which voters are gone,
-//! and sends the latest state to voters that are behind.
+//! One router as a voter and proposer: it offers to vote, votes, proposes, detects which voters are gone, and
+//! sends the latest state to voters that are behind.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,7 +29,7 @@
 /// The number of attestations that a voter issues in the time for which one is valid.
 const ATTESTATIONS_PER_LEASE: f64 = 4.0;
 
-/// The periods, tolerances and limits of the agreement.
+/// The periods, tolerances and limits of the agreement protocol, which settings and events call "accord".
 #[derive(Clone, Copy, Debug)]
 pub struct AccordConfig {
     /// The time between two heartbeats of a voter.
@@ -38,25 +38,28 @@
     pub lease: Span,
     /// The maximum difference between the clocks of routers.
     pub clock_tolerance: Span,
-    /// The maximum length of a content in bytes.
+    /// The maximum length of a state's content in bytes. The content is opaque to this package.
     pub max_content_bytes: usize,
 }
 
 /// Events that the host logs, each under a stable name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
+    /// A router offered to vote in an epoch that is not founded. Nothing reports this event at present.
     Enlisted,
+    /// This node founded the epoch: it set the epoch's first state.
     Founded,
     Decided,
     /// Another proposal was decided instead of this node's.
     Overtaken,
     VoterGone,
     VoterBack,
-    /// This incarnation is not one of the voters: a state has to name it before it votes.
+    /// The latest state does not name this incarnation of the node as a voter. It can't vote until a state
+    /// names it.
     Forgotten,
     MajorityLost,
     MajorityBack,
-    /// The epoch was founded twice: the operator has to order another epoch.
+    /// The epoch was founded twice. The operator has to sign a voter set with a later epoch.
     TwoFoundings,
 }
 
@@ -85,7 +88,7 @@
     Send { to: NodeId, bytes: Vec<u8> },
     /// Sign the attestation and send it to all routers, with the state that it attests.
     Attest(Attestation, DecidedState),
-    /// Take note that a state was decided here or learned from another voter.
+    /// Record that a state was decided here or learned from another voter.
     Decided(DecidedState),
     /// Write a log line.
     Event { kind: EventKind, voter: Option<NodeId>, number: Option<StateNumber> },
@@ -433,7 +436,7 @@
         let founding_id = self.rng.random();
         let number = StateNumber { epoch: self.epoch, step: 0, founding_id };
         let state = DecidedState { number, proposal: Proposal { voters, content } };
-        // Followers may rely on attestations of the previous epoch until then.
+        // The latest time at which followers may still rely on attestations of the previous epoch.
         let lease_end = unix_micros(now + self.config.lease + self.config.clock_tolerance);
         self.push_event(EventKind::Founded, None);
         self.learn(now, DecisionRecord { state, previous_lease_end_us: lease_end });
@@ -557,14 +560,14 @@
         }
     }
 
-    /// How long answers to a ballot may take. It grows with each failure, as the round-trip time is not known
-    /// beforehand.
+    /// How long answers to a ballot may take. It grows with each failed ballot, as the round-trip time is not
+    /// known beforehand.
     fn answer_timeout(&self) -> Span {
         self.config.heartbeat_period.mul_f64(ANSWER_TIMEOUT_PERIODS * f64::from(1 << self.failed_ballots))
     }
 
-    /// Sends the ballot's request again to the voters that did not answer, or gives the ballot up after a few
-    /// times.
+    /// Sends the ballot's request again to the voters that did not answer, or abandons the ballot after
+    /// [`MAX_REQUEST_ATTEMPTS`].
     fn retry_ballot(&mut self, now: Moment) {
         let retry_at = now + self.answer_timeout();
         let Some(active) =
@@ -597,8 +600,9 @@
         }
     }
 
-    /// What should follow the latest state, if anything: the content that the host wants, and the voters as
-    /// they are in the voter set and alive.
+    /// The proposal for the state that follows the latest one, if anything is to change: the content that the
+    /// host wants and, if this node is the designated proposer, the voters from
+    /// [`next_voters`](Self::next_voters).
     fn next_proposal(&self, now: Moment) -> Option<Proposal> {
         let latest = self.latest().filter(|_| self.is_voter() && self.is_epoch_founded())?;
         let voters = self.next_voters(now, latest);
@@ -610,9 +614,9 @@
         }
     }
 
-    /// The routers of the voter set, each in the incarnation that this node last received from. A router that
-    /// it has not received from recently stays in the incarnation that the latest state names, if any. A
-    /// voter that is no longer in the voter set is removed.
+    /// The routers of the voter set, each in the incarnation that sent the last message to this node. A
+    /// router that sent none recently keeps the incarnation that the latest state names, or is left out if
+    /// the state does not name it. A voter that is no longer in the voter set is left out.
     fn next_voters(&self, now: Moment, latest: &DecidedState) -> Vec<Voter> {
         let in_latest_state =
             |node: &NodeId| latest.proposal.voters.iter().find(|voter| voter.node == *node).copied();
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -31,9 +31,9 @@
     pub proposer: Voter,
 }
 
-/// The position of a state. The operator orders epochs, and the voters decide steps. `founding_id`
-/// distinguishes two foundings of one epoch, which can happen only if all processes that remembered the first
-/// one are gone.
+/// The position of a state. The operator begins epochs by voter sets, and the voters decide steps.
+/// `founding_id` distinguishes two foundings of one epoch, which can happen only if all processes that
+/// remembered the first one are gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StateNumber {
     pub epoch: u64,
@@ -42,7 +42,7 @@
 }
 
 impl StateNumber {
-    /// The number of the next state. `None` after the last step, where the operator has to order another
+    /// The number of the next state. `None` after the last step, where the operator has to begin another
     /// epoch.
     pub fn next(self) -> Option<Self> {
         self.step.checked_add(1).map(|step| Self { step, ..self })
--- a/crates/operator/src/template.rs
+++ b/crates/operator/src/template.rs
@@ -54,7 +54,7 @@
     text.to_string().ok_or_else(|| "the template has no JSON value".to_owned())
 }
 
-/// The files that one evaluation has read, and its import callbacks.
+/// The files that one evaluation has read. It implements the callbacks for imports.
 struct SourceFiles<'p> {
     folder: PathBuf,
     /// The source context that the evaluator assigned to each file, with the file's name and text.
@@ -94,10 +94,10 @@
         let at = self.position(program, from);
         let (context, ..) = program.span_manager().get_span(from);
         let importing_file = self.sources.iter().find(|(known, ..)| *known == context);
-        let importing_file =
+        let importing_folder =
             importing_file.and_then(|(_, name, _)| Path::new(name).parent().map(Path::to_path_buf));
         let base =
-            importing_file.and_then(|folder| folder.canonicalize().ok()).unwrap_or(self.folder.clone());
+            importing_folder.and_then(|folder| folder.canonicalize().ok()).unwrap_or(self.folder.clone());
         let resolved =
             base.join(path).canonicalize().map_err(|error| format!("{at}: import {path}: {error}"))?;
         if !resolved.starts_with(&self.folder) {
@@ -172,7 +172,9 @@
     }
 }
 
-/// The evaluator's name for a kind of error in lower-case words, without the numbers of its spans.
+/// Converts the `Debug` text of an evaluator's error or token to words: the name of the variant in lower case
+/// and, if the variant has a field `name`, its value. All other fields are left out, such as the span ids,
+/// which are numbers that only the evaluator can interpret.
 fn error_name(debug_text: &str) -> String {
     let type_name: String = debug_text.chars().take_while(|c| c.is_alphanumeric()).collect();
     let name = debug_text.split("name: \"").nth(1).and_then(|rest| rest.split('"').next());
