--- a/crates/router/src/backends/sql/doubt.rs
+++ b/crates/router/src/backends/sql/doubt.rs
@@ -55,45 +55,45 @@
 
 impl Doubt {
     /// Records why the query may still run.
-    pub fn note_cause(&self, cause: Cause) {
+    pub fn record_cause(&self, cause: Cause) {
         self.cause.set(Some(cause));
     }
 
     /// Records that the query is being given up.
-    pub fn note_give_up(&self) {
+    pub fn record_give_up(&self) {
         self.is_given_up.set(true);
-        self.note_cause(Cause::GivenUp);
+        self.record_cause(Cause::GivenUp);
     }
 
     /// Records that the process that has the query reported its end, over the connection that carried the
     /// POST.
-    pub fn note_end(&self) {
+    pub fn record_end(&self) {
         self.has_ended.set(true);
     }
 
     /// Records that some process at the engine's address confirmed that the query was given up.
-    pub fn note_deleted_by_address(&self) {
+    pub fn record_deleted_by_address(&self) {
         self.cause.set(None);
         self.may_be_another_process.set(true);
     }
 
     /// Records a panic of the query's task, after which the query may still run at any process.
-    pub fn note_panic(&self) {
-        self.note_cause(Cause::Panic);
+    pub fn record_panic(&self) {
+        self.record_cause(Cause::Panic);
         self.may_be_another_process.set(true);
     }
 
     /// Records a call that got no answer.
-    pub fn note_break(&self, error: &CallError) {
+    pub fn record_break(&self, error: &CallError) {
         self.is_refused.set(self.is_refused.get() || matches!(error, CallError::Refused));
         if error.is_break() {
-            self.note_another_process();
+            self.record_another_process();
         }
     }
 
     /// Records that another process than the one that has the query may answer at the engine's address from
     /// now on, so that errors from there no longer prove the query's end.
-    pub fn note_another_process(&self) {
+    pub fn record_another_process(&self) {
         self.may_be_another_process.set(true);
     }
 
--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -34,7 +34,7 @@
     /// Gives the query up. The call is repeated until a process answers it, a connection is refused, or the
     /// query was not polled for so long that the engine has ended it by itself, unless the engine hangs.
     pub async fn give_up(&self) {
-        self.doubt.note_give_up();
+        self.doubt.record_give_up();
         while let Err(error) = self.delete().await {
             self.log_no_answer("deleted", &error);
             if self.doubt.is_refused() || self.now() >= self.expiry() {
@@ -60,7 +60,7 @@
     /// Gives the query up with one call.
     async fn delete(&self) -> Result<(), CallError> {
         let status = self.engine.control_call("DELETE", &self.path(), "").await;
-        self.note_delete(Over::Another, status)
+        self.record_delete(Over::Another, status)
     }
 
     /// Gives the query up over the connection of its polls. The connection carries no other query after that,
@@ -72,20 +72,20 @@
         connection.reusable = false;
         let status = answer.unwrap_or(Err(CallError::NoAnswerInTime)).map(|(status, _)| status);
         let over = if self.on_post_connection.get() { Over::Own } else { Over::Another };
-        if let Err(error) = self.note_delete(over, status) {
+        if let Err(error) = self.record_delete(over, status) {
             self.log_no_answer("deleted over its connection", &error);
         }
     }
 
     /// Records the answer to a DELETE, or that there was none.
-    fn note_delete(&self, over: Over, status: Result<u16, CallError>) -> Result<(), CallError> {
-        let status = status.inspect_err(|error| self.doubt.note_break(error))?;
+    fn record_delete(&self, over: Over, status: Result<u16, CallError>) -> Result<(), CallError> {
+        let status = status.inspect_err(|error| self.doubt.record_break(error))?;
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
         log::debug!(event = "delete_answered", job = job.as_str(), number, status, over:? = over; "DELETE answered {status} over {over:?}");
         match over {
             _ if status != GIVEN_UP_STATUS => {}
-            Over::Own => self.doubt.note_end(),
-            Over::Another => self.doubt.note_deleted_by_address(),
+            Over::Own => self.doubt.record_end(),
+            Over::Another => self.doubt.record_deleted_by_address(),
         }
         Ok(())
     }
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -17,6 +17,7 @@
 /// since the fault may be one of the connection alone.
 const MAX_PROBE_ATTEMPTS: usize = 3;
 
+/// What the dispatcher starts at an engine: a dispatch, with the channel of its new priorities, or a probe.
 pub enum EngineCall {
     Run(Dispatch, Receiver<u8>),
     Probe(EngineId),
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -96,7 +96,7 @@
         if self.is_settled {
             return;
         }
-        self.query.doubt.note_panic();
+        self.query.doubt.record_panic();
         let rest =
             EndNotifier { query: self.query.clone(), is_reported: self.is_reported, is_settled: false };
         self.query.engine.context.tasks.spawn(rest.resume());
@@ -220,7 +220,7 @@
             }
             (answer, connection) = self.request_page(0, Some(connection)).await?;
         }
-        self.note_end(answer.status);
+        self.record_end(answer.status);
         if self.give_up_requested.get() {
             return Err(Outcome::Cancelled);
         }
@@ -240,11 +240,11 @@
     /// with an error, which does not mean that the query has ended. Only a result can come from no other
     /// process than the engine that produced it. Cost: if an engine fails and the connection of the POST is
     /// gone, the key waits for the query's expiry.
-    fn note_end(&self, status: u16) {
+    fn record_end(&self, status: u16) {
         if self.on_post_connection.get() {
-            self.doubt.note_end();
+            self.doubt.record_end();
         } else if status != 200 {
-            self.doubt.note_another_process();
+            self.doubt.record_another_process();
         }
     }
 
@@ -301,14 +301,14 @@
                 Err(CallError::Local(_)) if !self.has_begun.get() => return Err(Outcome::NotIssued),
                 Err(_) if !self.has_begun.get() && in_time => continue,
                 Err(_) if !self.has_begun.get() => return Err(Outcome::NotConnected),
-                Err(error) => self.doubt.note_break(&error),
+                Err(error) => self.doubt.record_break(&error),
             }
             drop(connection);
             let (answer, connection) = self.request_page(0, None).await?;
             if answer.status == 500 {
                 // The POST may still be on its way to the engine. So this error, like one from another
                 // process, does not prove that the query has ended.
-                self.doubt.note_another_process();
+                self.doubt.record_another_process();
                 self.give_up().await;
             }
             return Ok((answer, connection));
@@ -335,7 +335,7 @@
 
     /// Records that bytes of the POST were written. There is no await between the guard and the first write,
     /// so what the guard checked holds there.
-    fn note_first_byte(&self) {
+    fn record_first_byte(&self) {
         if let (false, Err(why)) = (self.has_begun.replace(true), self.send_conditions().check()) {
             self.engine.context.guards.record_violation(Step::Send, why, &self.dispatch.statement.id);
         }
@@ -387,14 +387,14 @@
                             continue;
                         }
                         Err(error) => {
-                            self.doubt.note_break(&error);
+                            self.doubt.record_break(&error);
                             self.log_no_answer("asked", &error);
                         }
                     }
                 }
                 Err(CallError::Refused) => {
-                    self.doubt.note_cause(Cause::Refused);
-                    self.doubt.note_break(&CallError::Refused);
+                    self.doubt.record_cause(Cause::Refused);
+                    self.doubt.record_break(&CallError::Refused);
                     return Err(Outcome::Reset);
                 }
                 Err(error) => self.log_no_answer("no connection to ask over", &error),
@@ -464,7 +464,7 @@
         };
         let mut unwritten = head.len() + body.len();
         let on_write = |bytes| {
-            self.note_first_byte();
+            self.record_first_byte();
             self.last_poll.set(self.now());
             unwritten -= bytes;
             if unwritten == 0 {
