--- a/crates/accord/src/messages.rs
+++ b/crates/accord/src/messages.rs
@@ -11,8 +11,8 @@
 /// A message from one voter to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Offers to vote in an epoch that the sender knows no state of, with the latest state that the sender
-    /// knows.
+    /// Offers to vote in an epoch of which the sender knows no state, and carries the latest state that the
+    /// sender knows of any epoch.
     Enlist {
         epoch: u64,
         latest: Option<DecisionRecord>,
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
-/// One start of a router from nothing. The host draws a new value at each start: the time of the start in the
-/// high bits, random bits in the low ones.
+/// One start of a router, which begins without any memory of earlier ones. The host draws a new value at each
+/// start: the time of the start in the high bits, random bits in the low ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
--- a/crates/flow-control/src/shares.rs
+++ b/crates/flow-control/src/shares.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
     Granted,
-    /// Not now. It becomes possible once other peers, or this one, release bytes.
+    /// The request can't be granted now, but may be once other peers, or this one, release bytes.
     Wait,
-    /// Never: the request exceeds what one peer may hold.
+    /// The request can never be granted, as it exceeds what one peer may hold.
     TooLarge,
 }
 
@@ -101,7 +101,7 @@
         outcome
     }
 
-    /// Adds bytes to what a peer holds without a check, as where another account granted them.
+    /// Adds bytes to what a peer holds without a check, for bytes that another budget granted.
     pub fn reserve_unchecked(&mut self, peer: &P, bytes: usize) {
         if bytes > 0 {
             let held = self.peers.entry(peer.clone()).or_default();
--- a/crates/flow-control/src/timer_wheel.rs
+++ b/crates/flow-control/src/timer_wheel.rs
@@ -1,12 +1,12 @@
-//! A hierarchical timer wheel: adding and cancelling a timer takes constant time, and each step moves one
-//! timer.
+//! A hierarchical timer wheel: adding and cancelling a timer takes constant time, and expiring timers is
+//! split into steps that move one timer each.
 
 use woadhook::{Moment, Span};
 
 const LEVELS: usize = 6;
 const SLOT_BITS: u32 = 6;
 const SLOTS: usize = 1 << SLOT_BITS;
-/// Number of ticks ahead that the wheel can tell apart.
+/// Number of ticks ahead of the current one that the wheel can represent.
 const RANGE_TICKS: u64 = 1 << (SLOT_BITS * LEVELS as u32);
 const NO_ENTRY: u32 = u32::MAX;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerKey {
     index: u32,
-    /// Tells apart the timers that use an entry one after the other.
+    /// Distinguishes the timers that use an entry one after the other.
     generation: u32,
 }
 
@@ -29,10 +29,10 @@
     item: Option<T>,
 }
 
-/// Pseudo level of the list of due timers, which lies beside the slots.
+/// Pseudo level of the list of due timers, which is kept apart from the slots.
 const DUE_LEVEL: u8 = LEVELS as u8;
 
-/// Timers, each with an item. The tick is the resolution: timers within one tick are not told apart.
+/// Timers, each with an item. The tick is the resolution: timers within one tick are not distinguished.
 pub struct TimerWheel<T> {
     tick: Span,
     start: Moment,
--- a/crates/gossip/tests/properties.rs
+++ b/crates/gossip/tests/properties.rs
@@ -151,8 +151,8 @@
         seed in any::<u64>(), count in 3_usize..16, loss in 0.0_f64..0.4, side in any::<u16>(), dies in any::<u16>(),
         restarts in any::<u16>(),
     ) {
-        let weather = NetworkConditions { loss, duplication: 0.1, delay: (Span::ZERO, secs(0.05)) };
-        let mut cluster = Cluster::new(seed, count, weather, default_gossip_config());
+        let conditions = NetworkConditions { loss, duplication: 0.1, delay: (Span::ZERO, secs(0.05)) };
+        let mut cluster = Cluster::new(seed, count, conditions, default_gossip_config());
         cluster.run_for(secs(3.0));
         let is_in = |set: u16, node: usize| set & (1 << node) != 0;
         for node in 0..count {
--- a/crates/gossip/tests/scenarios.rs
+++ b/crates/gossip/tests/scenarios.rs
@@ -18,8 +18,8 @@
 const ENGINES: [&str; 3] = ["e-1", "e-2", "e-3"];
 const NO_MEMBER: MemberId = MemberId(0);
 
-fn cluster(seed: u64, count: usize, weather: NetworkConditions) -> Cluster {
-    let mut cluster = Cluster::new(seed, count, weather, default_gossip_config());
+fn cluster(seed: u64, count: usize, conditions: NetworkConditions) -> Cluster {
+    let mut cluster = Cluster::new(seed, count, conditions, default_gossip_config());
     cluster.set_engines(&ENGINES);
     cluster
 }
@@ -33,7 +33,7 @@
     cluster
 }
 
-/// Returns a datagram with these statements, signed by a member at its first incarnation.
+/// Returns a datagram with these items, signed by a member at its first incarnation.
 fn datagram(own: &Identity, to: MemberId, now: Moment, number: u64, items: &[(ItemTag, Vec<u8>)]) -> Vec<u8> {
     let record =
         MemberRecord::issue(own, node_address(200), now.since(Moment::default()).micros() / 1000, false);
@@ -116,11 +116,15 @@
     cluster.run_for(secs(0.1));
     cluster.kill(3);
     assert!(cluster.run_until(secs(5.0), Cluster::views_agree).is_some());
-    let of = |what| {
-        cluster.events.iter().filter(|told| told.kind == what && told.member.as_deref() == Some("n3")).count()
+    let count_events = |kind| {
+        cluster
+            .events
+            .iter()
+            .filter(|event| event.kind == kind && event.member.as_deref() == Some("n3"))
+            .count()
     };
-    assert!(of(EventKind::MemberLeft) >= 9);
-    assert_eq!(of(EventKind::MemberGone), 0);
+    assert!(count_events(EventKind::MemberLeft) >= 9);
+    assert_eq!(count_events(EventKind::MemberGone), 0);
 }
 
 #[test]
@@ -317,7 +321,7 @@
     assert!(cluster.run_until(secs(5.0), Cluster::views_agree).is_some());
     cluster.run_for(secs(100.0));
     assert_eq!(cluster.core(0).live_peers().count(), 0, "expired passes are not accepted");
-    assert!(cluster.events.iter().any(|told| told.kind == EventKind::PassEnding));
+    assert!(cluster.events.iter().any(|event| event.kind == EventKind::PassEnding));
 }
 
 #[test]
@@ -386,14 +390,14 @@
         cluster.run_for(secs(0.6));
         if cluster.suspicion(0, "e-1") > 0.0 {
             accepted += 1;
-            // The own probe of the engine contradicts the lie.
+            // A probe by the member itself contradicts the false observation.
             cluster.with_core(0, |now, core| core.probe_answered(now, "e-1"));
             assert_eq!(cluster.suspicion(0, "e-1"), 0.0);
         }
     }
     assert!((1..=5).contains(&accepted), "{accepted} false observations were accepted");
     assert!(cluster.core(0).credit(liar) < 0.2);
-    assert!(cluster.events.iter().any(|told| told.kind == EventKind::MemberDistrusted && told.node == 0));
+    assert!(cluster.events.iter().any(|event| event.kind == EventKind::MemberDistrusted && event.node == 0));
     // Other members' observations still count.
     cluster.with_core(4, |now, core| core.engine_judged(now, "e-2", EngineCondition::Silent));
     cluster.run_for(secs(1.0));
@@ -436,8 +440,8 @@
         }
         cluster.run_for(secs(0.5));
     }
-    let gone = cluster.events.iter().filter(|told| told.kind == EventKind::MemberGone).count();
-    let self_suspected = cluster.events.iter().filter(|told| told.kind == EventKind::SelfSuspected).count();
+    let gone = cluster.events.iter().filter(|event| event.kind == EventKind::MemberGone).count();
+    let self_suspected = cluster.events.iter().filter(|event| event.kind == EventKind::SelfSuspected).count();
     assert_eq!(gone, 0);
     assert!(self_suspected > 0, "the false reports arrived");
     assert!(cluster.run_until(secs(10.0), Cluster::views_agree).is_some());
@@ -760,7 +764,7 @@
     let mut cluster = Cluster::new(26, 14, NetworkConditions::reliable(), pace);
     cluster.run_for(secs(10.0));
     assert!(cluster.running().all(|(_, core)| core.live_members() <= 9));
-    assert!(cluster.events.iter().any(|told| told.kind == EventKind::MemberTableFull));
+    assert!(cluster.events.iter().any(|event| event.kind == EventKind::MemberTableFull));
 }
 
 #[test]
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -199,7 +199,7 @@
     Broken(io::Error),
     /// The client sent something that is not a message.
     Malformed,
-    /// A request number did not rise, so that requests can't be told apart.
+    /// A request number was not greater than the one before, so that answers could be confused.
     NumberNotNew,
     /// A message exceeds the maximum length.
     TooLong,
@@ -212,7 +212,7 @@
 }
 
 impl ReadEnd {
-    /// Whether the client may still read answers to its earlier requests, and tell them apart. Threat: a
+    /// Whether the client may still read answers to its earlier requests, and distinguish them. Threat: a
     /// request that was accepted would not be answered because the data after it was malformed or never
     /// arrived completely. Cost: the connection may hold a descriptor until these requests are answered.
     fn leaves_answers_owed(&self) -> bool {
--- a/crates/router/src/frontends/rpc/listen.rs
+++ b/crates/router/src/frontends/rpc/listen.rs
@@ -66,8 +66,8 @@
         Async::new(socket.into())
     }
 
-    /// Whether no connection waits: a client may have written a request to a connection that was not accepted
-    /// yet.
+    /// Whether no connection waits to be accepted. The router checks this before it stops, as a client may
+    /// have written a request to a connection that was not accepted yet.
     pub fn has_no_pending(&self) -> bool {
         !self.holds_accepted.get() && !is_readable(self.listener.get_ref())
     }
