--- a/crates/adapter/src/flint.rs
+++ b/crates/adapter/src/flint.rs
@@ -76,7 +76,7 @@
     instance: &mut Instance, now: Moment, kind: &str, event: &Value, pages: &BTreeMap<u64, Vec<Value>>,
 ) -> Result<()> {
     match kind {
-        "REGISTRY" => follow_list(instance, now, event, pages)?,
+        "REGISTRY" => apply_list(instance, now, event, pages)?,
         "REQUEST" => {
             let job = JobId(instance.jobs.intern(text(event, "txn")?));
             let present_fields = integer(event, "bitmap").unwrap_or(0);
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-fn follow_list(
+fn apply_list(
     instance: &mut Instance, now: Moment, event: &Value, pages: &BTreeMap<u64, Vec<Value>>,
 ) -> Result<()> {
     let mode = text(event, "mode")?;
--- a/crates/host/src/instance.rs
+++ b/crates/host/src/instance.rs
@@ -37,7 +37,9 @@
 impl Instance {
     /// Builds a router from the settings object, which is the same in every protocol.
     pub fn start(now: Moment, seed: u64, info: &Value) -> Result<Self> {
-        let (limits, rules, family) =
+        // `familyInfo` describes the engines: cores and memory by kind of machine, threads by type, progress
+        // notifications and memory grants.
+        let (limits, rules, engine_settings) =
             (required(info, "limits")?, required(info, "obligations")?, required(info, "familyInfo")?);
         let (prices, feedback) = (required(info, "prices")?, required(info, "feedback")?);
         let zones = strings(info, "zones")?;
@@ -69,9 +71,13 @@
                 zones: indices_of(class, "runsIn", &zones).map(|open| open.into_iter().map(ZoneId).collect()),
                 kinds: indices_of(class, "kindsOpen", &kinds)
                     .map(|open| open.into_iter().map(KindId).collect()),
-                threads: numbers(family, "widthByClass")?.get(index).copied().unwrap_or(1.0).max(1.0),
-                is_load: flag_at(family, "isLoad", index),
-                waits_for_loads: flag_at(family, "waitsForLoads", index),
+                threads: numbers(engine_settings, "widthByClass")?
+                    .get(index)
+                    .copied()
+                    .unwrap_or(1.0)
+                    .max(1.0),
+                is_load: flag_at(engine_settings, "isLoad", index),
+                waits_for_loads: flag_at(engine_settings, "waitsForLoads", index),
             })
         });
         let types = types.collect::<Result<Vec<_>>>()?;
@@ -91,8 +97,8 @@
             zone: ZoneId(index_of(&zones, text(info, "zone")?, "zone")?),
             router_count: integer(info, "replicasOfMe")? as usize,
             router_index: integer(info, "myNumber")? as usize,
-            cores_by_kind: numbers(family, "coresByKind")?,
-            memory_mb_by_kind: numbers(family, "ramOfKindMb")?,
+            cores_by_kind: numbers(engine_settings, "coresByKind")?,
+            memory_mb_by_kind: numbers(engine_settings, "ramOfKindMb")?,
             cross_zone_cost: number(prices, "crossZone").unwrap_or(0.0),
         };
         let cold = ColdStart {
@@ -105,7 +111,7 @@
             max_dispatches: integer(limits, "tryLimit")? as usize,
             concurrent_dispatches: flag(limits, "secondCopies"),
             can_cancel: flag(limits, "cancelling"),
-            key_rest: span(rules, "turnGapUs").unwrap_or_default(),
+            key_pause: span(rules, "turnGapUs").unwrap_or_default(),
             retry_budget,
         };
         let list_on_request = text(info, "discovery")? == "on_request";
@@ -113,19 +119,19 @@
             may_probe: flag(limits, "mayProbe"),
             reports_with_probes_only: report_mode == "probe",
             connect_timeout: span(limits, "connectTimeoutUs")?,
-            progress_period: span(family, "notePeriodUs").unwrap_or_default(),
+            progress_period: span(engine_settings, "notePeriodUs").unwrap_or_default(),
             max_list_age: list_on_request.then(|| span(rules, "askWithinUs")).transpose()?,
         };
         let answer_policy = AnswerPolicy {
-            slack: span(rules, "answerSlackUs")?,
+            answer_tolerance: span(rules, "answerSlackUs")?,
             max_retry_after: max_retry_after(limits)?,
             value_by_work: text(info, "worthBy").is_ok_and(|by| by == "work"),
             over_share_factor: number(info, "overShareWorth").unwrap_or(1.0),
             tenant_rates,
         };
         let memory_grants = MemoryGrants {
-            enabled: flag(family, "takesGrants"),
-            max_grant_share: number(family, "maxGrantShare").unwrap_or(1.0),
+            enabled: flag(engine_settings, "takesGrants"),
+            max_grant_share: number(engine_settings, "maxGrantShare").unwrap_or(1.0),
         };
         let ordered = types.iter().map(|t| t.ordered).collect();
         let run_once = types.iter().map(|t| t.effect == Effect::RunOnce).collect();
@@ -160,11 +166,12 @@
             zones,
             kinds,
             report_fields: if report_mode == "none" { Vec::new() } else { strings(feedback, "names")? },
-            costs_in_answers: flag(family, "costInAnswers"),
+            costs_in_answers: flag(engine_settings, "costInAnswers"),
         })
     }
 
-    /// The index of an order key, if the type keeps order. For other types the module would never release it.
+    /// The index of an order key, if the type keeps order. For other types no index is assigned: the module
+    /// ignores their keys and would never return `Decision::Forget` for it.
     pub fn intern_key(&mut self, type_id: TypeId, name: &str) -> Option<KeyId> {
         self.ordered[type_id.0].then(|| KeyId(self.keys.intern(name)))
     }
@@ -180,6 +187,7 @@
         &mut self, now: Moment, engine: EngineId, value: impl Fn(usize, &str) -> Option<f64>,
     ) {
         let value = |name| position(&self.report_fields, name).and_then(|index| value(index, name));
+        // The protocols call the utilization of the disks `x1`.
         let (active, waiting, cpu, disks) = (value("active"), value("waiting"), value("cpu"), value("x1"));
         self.router.load_reported(now, engine, active, waiting, cpu, disks);
     }
--- a/crates/standins/examples/decisions.rs
+++ b/crates/standins/examples/decisions.rs
@@ -77,7 +77,7 @@
         max_dispatches: 4,
         concurrent_dispatches: rough,
         can_cancel: true,
-        key_rest: millis(5),
+        key_pause: millis(5),
         retry_budget,
     };
     let monitoring = Monitoring {
@@ -88,7 +88,7 @@
         max_list_age: None,
     };
     let answer_policy = AnswerPolicy {
-        slack: millis(20),
+        answer_tolerance: millis(20),
         max_retry_after: Some(millis(2_000)),
         value_by_work: false,
         over_share_factor: 0.1,
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -9,8 +9,8 @@
 pub(crate) const MEAN_SAMPLES: f64 = 128.0;
 /// Factor by which a sample moves a running median.
 const MEDIAN_STEP: f64 = 1.03;
-/// Relative increase of the next grants after a dispatch short of memory: after the first sample (it falls
-/// with the number of samples), and at least.
+/// Relative increase of the next grants after a dispatch that was short of memory: the increase after the
+/// first sample, which is divided by the number of samples, and its minimum.
 const GRANT_STEPS: [f64; 2] = [0.3, 0.04];
 /// Fraction of the dispatches that the learned grant leaves short of memory.
 const SPILL_FRACTION: f64 = 0.1;
@@ -20,7 +20,7 @@
 /// Job costs, learned from estimates, answers and progress notifications. Its vectors have one entry per
 /// reservation type.
 pub(crate) struct Estimates {
-    /// Work of a job in seconds of one thread; it starts at the usual part of the SLA time on all threads.
+    /// Work of a job in seconds of one thread; its initial value is `initial_work`.
     pub(crate) work: Vec<RunningMean>,
     /// Mean work of a job of any type.
     pub(crate) mean_work: RunningMean,
@@ -29,8 +29,8 @@
     /// Ratio of grant to estimated memory at which `SPILL_FRACTION` of the dispatches are short, and its
     /// number of samples.
     pub(crate) memory_bias: Vec<(f64, f64)>,
-    /// Time of a dispatch divided by its work on its threads. It is about the median, which a stalled
-    /// dispatch moves little.
+    /// Time of a dispatch divided by its work on its threads: a running estimate of the median, which a
+    /// stalled dispatch changes little.
     pub(crate) stretch: Vec<f64>,
     /// The same ratio for dispatches whose table group was not warm on their engine.
     pub(crate) cold_stretch: Vec<RunningMean>,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -38,8 +38,8 @@
 pub enum Effect {
     /// May run any number of times.
     Restartable,
-    /// Engines in `scope` discard a repeat until `window` has passed since the first dispatch that may have
-    /// run.
+    /// Engines in `scope` recognize the job's idempotency key and discard a repeat until `window` has passed
+    /// since the first dispatch that may have run.
     Keyed { scope: Scope, window: Span },
     /// Must not run more than once.
     RunOnce,
@@ -88,12 +88,12 @@
 /// The status of an engine in the engine list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineStatus {
-    /// It may get jobs.
+    /// The engine may get jobs.
     #[default]
     Live,
-    /// It must not get new jobs.
+    /// The engine must not get new jobs.
     Draining,
-    /// It is no longer there.
+    /// The engine has been removed from the pool.
     Gone,
 }
 
@@ -114,7 +114,7 @@
     Done,
     /// The engine answered with an error.
     Error,
-    /// The engine rejected it before running it.
+    /// The engine declined the dispatch or probe: its answer proves that it did not run the job.
     TurnedAway,
     /// No answer came within the timeout.
     TimedOut,
@@ -145,11 +145,11 @@
 pub enum Progress {
     /// Fraction of the work that is done.
     Fraction(f64),
-    /// It spills to disk because this many megabytes of memory are missing.
+    /// The query spills to disk because this many megabytes of memory are missing.
     Spills(f64),
-    /// It waits for memory on its engine.
+    /// The query waits for memory on its engine.
     WaitsForMemory,
-    /// It waits for a load that has locked its table group.
+    /// The query waits for a load that has locked its table group.
     WaitsForLoad,
 }
 
@@ -166,7 +166,8 @@
 pub enum Decision {
     /// Send the job to the engine. The dispatches of a job are numbered from 0. `memory` is in megabytes (0:
     /// the engine chooses); `priority` is 0 to 3. If `before` is set, the host must not send the dispatch at
-    /// or after that time, because an earlier dispatch of the job may have run.
+    /// or after that time, because an earlier dispatch of the job may have run and engines discard a repeat
+    /// only until then.
     Dispatch {
         job: JobId,
         engine: EngineId,
@@ -177,7 +178,8 @@
     },
     /// Cancel one dispatch. The host still reports its outcome.
     CancelDispatch { job: JobId, number: usize },
-    /// Final answer: the job never ran or may run again. The client may retry after `come_back`, if set.
+    /// Final answer: the job never ran or may run again. `come_back` is the retry-after time, if there is
+    /// one: the client may send the job again once it has passed.
     Throttle { job: JobId, come_back: Option<Span>, why: GiveUpReason },
     /// Final answer: the job failed, and whether it took effect is unknown.
     CancelForGood { job: JobId, why: GiveUpReason },
@@ -201,11 +203,11 @@
 pub enum GiveUpReason {
     /// The time that its client allows has passed.
     TimeOver,
-    /// It has reached the maximum number of dispatches.
+    /// The job has reached the maximum number of dispatches.
     TriesSpent,
     /// An earlier dispatch may have run, and the job must not run again.
     MayHaveRun,
-    /// An answer would come after the SLA time, when its type earns little.
+    /// An answer would come after the SLA time, and a late answer of its type earns too little.
     TooLateToEarn,
     /// An answer would come after the time that its client allows.
     NoTimeLeft,
@@ -214,9 +216,9 @@
 /// Why an engine was set aside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetAsideReason {
-    /// It sent nothing for too long while dispatches to it were in flight.
+    /// The engine sent nothing for too long while dispatches to it were in flight.
     Silent,
-    /// A connection to it was reset or could not be opened.
+    /// A connection to the engine was reset or could not be opened.
     Failed,
     /// A probe was not answered.
     Unanswered,
@@ -272,8 +274,9 @@
     pub concurrent_dispatches: bool,
     /// Whether dispatches can be cancelled.
     pub can_cancel: bool,
-    /// How long no job of a key is dispatched after a dispatch that may still run.
-    pub key_rest: Span,
+    /// Pause of an order key: no job of the key is dispatched for the first time for this long after a
+    /// dispatch that may still run, or after the host has reported that such a dispatch no longer runs.
+    pub key_pause: Span,
     /// Limit on the dispatches after the first, over all jobs; none if not set.
     pub retry_budget: Option<RetryBudget>,
 }
@@ -306,8 +309,8 @@
 /// How final answers are timed and valued.
 #[derive(Clone, Debug)]
 pub struct AnswerPolicy {
-    /// Slack of final answers; the timer period while there are jobs.
-    pub slack: Span,
+    /// Tolerance on the time of final answers. It is also the period of the timer while there are jobs.
+    pub answer_tolerance: Span,
     /// The longest retry-after time that clients respect, if they are sent one.
     pub max_retry_after: Option<Span>,
     /// Whether the billed value is per unit of work instead of per job.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,9 @@
 //! [`logic`] makes every decision, [`interface`] defines the types that it exchanges with its host, and
 //! [`time`] the types for points in time and durations. A host passes events to a [`Router`] and then pulls
 //! decisions until there are none left; the crate itself opens no socket and reads no clock.
+//!
+//! A comment that begins with `Threat:` names the fault that the code below it guards against, and the case
+//! in which this defence costs something.
 
 mod estimates;
 pub mod interface;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -2,20 +2,23 @@
 //! (`job_arrived`, `dispatch_ended`, `load_reported`, ...) and then pulls [`Router::next_decision`] until it
 //! returns `None`. The types that both sides exchange are in `interface.rs`.
 //!
-//! The ordinary path is Index/Load: a job goes to the permitted engine with the smallest estimated wait plus
-//! run time, where engines that were recently sent its table group get a lower estimate (`wait_and_run`). Six
-//! mechanisms complement it, and every dispatch must pass one check (`is_permitted`):
+//! Jobs are placed by Index/Load, the name that the underlying paper gives this scheduling scheme: a job goes
+//! to the permitted engine with the smallest estimated wait plus run time, where engines that lately ran its
+//! table group count as warm and get a lower estimate (`wait_and_run`). Six mechanisms complement it, and
+//! every dispatch must pass one check (`is_permitted`):
 //!
 //! 1. a limit on the threads in flight, with limits per engine and for loads; other jobs wait
 //!    (`adjust_limit`, `load_engines`),
 //! 2. engines are set aside after silence, resets or failed connections and return after answered probes
 //!    (`set_aside_silent`); reports of other routers cause earlier probes (`peer_reported`),
-//! 3. a work budget for each cold engine, which the routers use in turns (`slow_start`),
+//! 3. a limit on the work that all routers together send to a cold engine: in each time window, only some
+//!    routers may send it jobs (`slow_start`),
 //! 4. the order of waiting jobs, and immediate throttling of jobs that can't be done in time (`give_up`),
 //! 5. timeouts and further dispatches (`is_lost`, `cancel_lost`),
 //! 6. memory grants, corrected by the learned bias of the estimates, and priorities (`send`, `Estimates`).
 //!
-//! The rules are in `rules`, the cost of a job at an engine and the order of the jobs in `placement`.
+//! `rules` decides whether a job may be dispatched, throttled or given up; `placement` estimates the cost of
+//! a job at an engine and orders the waiting jobs.
 
 mod placement;
 mod rules;
@@ -43,13 +46,13 @@
 const SHORT_JOB_LIMIT_FACTOR: f64 = 2.0;
 /// Maximum threads in flight at one engine, as a multiple of its even part of the limit.
 const ENGINE_LIMIT_FACTOR: f64 = 2.0;
-/// The first limit exceeds this router's part of the cores by this many square roots of that part, because
-/// the bursts of many routers even out.
-const BURST_SQUARE_ROOTS: f64 = 2.0;
+/// The initial limit is `n + BURST_SQRT_FACTOR * sqrt(n)` threads, where `n` is this router's part of the
+/// cores. It may exceed `n` because the bursts of many routers do not all come at the same time.
+const BURST_SQRT_FACTOR: f64 = 2.0;
 /// Number of consecutive answered probes after which an engine returns.
 const PROBES_TO_RETURN: u32 = 2;
-/// Average wait of a job that waits for loads at an engine that takes other routers' loads of its table
-/// group, as a fraction of a load's SLA time.
+/// Assumed average wait of a job whose type waits for loads, at an engine to which other routers send loads
+/// of the job's table group. It is a fraction of a load's SLA time.
 const LOAD_WAIT_SLA_FRACTION: f64 = 0.1;
 /// Number of dispatches of this router per probe that only requests a load report.
 const DISPATCHES_PER_PROBE: u32 = 5;
@@ -81,20 +84,23 @@
     answer_policy: AnswerPolicy,
     memory_grants: MemoryGrants,
     derived: DerivedSettings,
-    /// The in-flight limit divided by its first value.
+    /// The in-flight limit divided by its initial value.
     limit_factor: f64,
     /// Whether a bad answer has cut the limit yet.
     limit_was_cut: bool,
-    /// Per tenant: the rest of this router's part of the tenant's share in jobs, and when it was computed.
+    /// Per tenant: the number of jobs that are left of this router's part of the tenant's share, and when it
+    /// was computed.
     tenant_budgets: Vec<(f64, Moment)>,
-    /// When jobs were accepted, for rule 7. Entries are removed when they have left the window.
+    /// When jobs were accepted, for the retry budget. Entries are removed when they have left its window.
     accepted_at: VecDeque<Moment>,
-    /// When jobs were dispatched again, for rule 7. Entries are removed when they have left the window.
+    /// When jobs were dispatched again, for the retry budget. Entries are removed when they have left its
+    /// window.
     retried_at: VecDeque<Moment>,
     /// When the engine list was last requested.
     list_requested_at: Option<Moment>,
-    /// Whether the list need not be requested now.
-    subscribed: bool,
+    /// Whether changes of the engine list arrive. If the list has to be requested, this is false until the
+    /// first answer to a request, and again after a request has failed.
+    receives_list_changes: bool,
     /// A job is removed when it is closed and has no dispatch in flight.
     jobs: BTreeMap<JobId, Job>,
     /// A key is removed when it has no job left and may be used again.
@@ -104,11 +110,11 @@
     swept_at: Moment,
     /// Whether the record of an engine that is gone may still be kept.
     any_gone: bool,
-    /// Until then no engine is silent, set aside or suspected. `None` if unknown.
+    /// No engine needs a health check before this time (see `all_healthy`); `None` if unknown.
     healthy_until: Option<Moment>,
     /// Dispatches since the last probe that only requested a load report.
     dispatches_since_probe: u32,
-    /// When the host was last asked to call again.
+    /// When the wake-up that was last requested by `Decision::Wake` is due.
     wake_at: Option<Moment>,
     /// Indices for which `Decision::Forget` has yet to be returned.
     unused_indices: Vec<Forgotten>,
@@ -125,7 +131,7 @@
         memory_grants: MemoryGrants,
     ) -> Self {
         let tenant_budgets = vec![(1.0, now); answer_policy.tenant_rates.len()];
-        let subscribed = monitoring.max_list_age.is_none();
+        let receives_list_changes = monitoring.max_list_age.is_none();
         let derived = DerivedSettings::new(&types, &monitoring);
         Self {
             rng: Pcg32::seed_from_u64(seed),
@@ -145,7 +151,7 @@
             accepted_at: VecDeque::new(),
             retried_at: VecDeque::new(),
             list_requested_at: None,
-            subscribed,
+            receives_list_changes,
             jobs: BTreeMap::new(),
             keys: BTreeMap::new(),
             engines: BTreeMap::new(),
@@ -196,7 +202,7 @@
         self.jobs.insert(job, record);
     }
 
-    /// The client has left, or the job has ended in another way.
+    /// The client has left, or the job has ended in another way; it gets no further dispatch or answer.
     pub fn job_closed(&mut self, job: JobId) {
         if let Some(record) = self.jobs.get_mut(&job) {
             record.closed = true;
@@ -223,7 +229,7 @@
         let t = &self.types[record.type_id.0];
         if let (Some(key), true) = (record.key, outcome.may_still_run()) {
             let queue = self.keys.entry(key).or_default();
-            queue.rest_until = queue.rest_until.max(now + self.retry_limits.key_rest);
+            queue.paused_until = queue.paused_until.max(now + self.retry_limits.key_pause);
         }
         if outcome == Outcome::Done {
             self.estimates.learn_dispatch(t, record, dispatch, true_cost, took);
@@ -264,11 +270,11 @@
     }
 
     /// A dispatch for which `key_in_doubt` was called no longer runs. Threat: an engine that hangs keeps its
-    /// job as long as it hangs, whatever this router assumes, so only this call ends the doubt about the key.
+    /// job as long as it hangs, whatever this router assumes, so the key stays in doubt until this call.
     pub fn key_settled(&mut self, now: Moment, key: KeyId) {
         if let Some(queue) = self.keys.get_mut(&key) {
             queue.in_doubt = queue.in_doubt.saturating_sub(1);
-            queue.rest_until = queue.rest_until.max(now + self.retry_limits.key_rest);
+            queue.paused_until = queue.paused_until.max(now + self.retry_limits.key_pause);
         }
     }
 
@@ -365,8 +371,8 @@
 
     /// The present level of other routers' suspicion. It decays linearly over the maximum silence, and the
     /// first answer or notification from the engine to this router ends it. Threat: a router with few jobs
-    /// notices a hung engine late. It also catches engines that fail the jobs of other routers. It may hurt
-    /// where other routers send false reports, so it only causes an earlier probe and increases an estimate.
+    /// notices a hung engine late. Suspicion also covers engines that fail the jobs of other routers. Other
+    /// routers may send false reports, so suspicion only causes an earlier probe and increases an estimate.
     fn suspicion(&self, engine: &Engine, reservation_type: Option<TypeId>, now: Moment) -> f64 {
         if engine.peer_suspicions.is_empty() {
             return 0.0;
@@ -397,7 +403,8 @@
         }
     }
 
-    /// The entries just passed were the complete list: engines that are not in `named` are gone.
+    /// The entries passed to `engine_listed` just before were the complete list: engines that are not in
+    /// `named` are gone.
     pub fn list_complete(&mut self, named: &[EngineId]) {
         self.list_changed();
         let named: BTreeSet<EngineId> = named.iter().copied().collect();
@@ -409,12 +416,12 @@
 
     /// A change of the engine list, or the whole list, has arrived.
     pub fn list_changed(&mut self) {
-        self.subscribed |= self.list_requested_at.is_some();
+        self.receives_list_changes |= self.list_requested_at.is_some();
     }
 
     /// A request for the engine list has failed.
     pub fn list_unavailable(&mut self) {
-        self.subscribed = self.monitoring.max_list_age.is_none();
+        self.receives_list_changes = self.monitoring.max_list_age.is_none();
     }
 
     /// The fraction of the billed value that a job of this tenant earns. A job within the tenant's share uses
@@ -437,12 +444,12 @@
         if in_use.is_empty() { live().collect() } else { in_use }
     }
 
-    /// The first value and the minimum of the in-flight limit: this router's part of the usable cores, with
+    /// The initial value and the minimum of the in-flight limit: this router's part of the usable cores, with
     /// and without an allowance for bursts. Cold engines count at their present capacity.
     fn initial_limit(&self, usable: &[(EngineId, &Engine)], now: Moment) -> (f64, f64) {
         let cores: f64 = usable.iter().map(|(_, e)| self.effective_cores(e, now)).sum();
         let cores_share = (cores * self.share()).max(1.0);
-        (cores_share + BURST_SQUARE_ROOTS * cores_share.sqrt(), cores_share)
+        (cores_share + BURST_SQRT_FACTOR * cores_share.sqrt(), cores_share)
     }
 
     /// Adjusts the in-flight limit, which is in threads at all usable engines. If more than half of it is in
@@ -495,7 +502,7 @@
     pub fn next_decision(&mut self, now: Moment) -> Option<Decision> {
         self.remove_expired(now);
         self.set_aside_silent(now);
-        self.follow_list(now)
+        self.request_list(now)
             .or_else(|| self.give_up(now))
             .or_else(|| if self.retry_limits.can_cancel { self.cancel_lost(now) } else { None })
             .or_else(|| self.dispatch(now))
@@ -523,7 +530,7 @@
             }
         }
         let unused =
-            |queue: &KeyQueue| queue.jobs.is_empty() && queue.in_doubt == 0 && now >= queue.rest_until;
+            |queue: &KeyQueue| queue.jobs.is_empty() && queue.in_doubt == 0 && now >= queue.paused_until;
         let unused_keys = self.keys.extract_if(.., |_, queue| unused(queue));
         self.unused_indices.extend(unused_keys.map(|(key, _)| Forgotten::Key(key)));
         if self.any_gone {
@@ -534,8 +541,9 @@
         }
     }
 
-    /// Whether no engine is set aside, suspected, or silent for half of the maximum silence. While that
-    /// holds, no engine has to be checked, because an engine that is sent a job later becomes silent later.
+    /// Whether no engine is set aside, suspected, or silent for half of the maximum silence. The time until
+    /// which this certainly holds is kept in `healthy_until`: no dispatch sent meanwhile can make its engine
+    /// silent before that time.
     fn all_healthy(&mut self, now: Moment) -> bool {
         let healthy = self.healthy_until.is_some_and(|until| now <= until);
         if healthy
@@ -550,8 +558,8 @@
     }
 
     /// Sets aside engines that are silent with dispatches in flight. Threat: machines that hang without a
-    /// reset. It also catches cut links and lost progress notifications. It hurts where notifications come
-    /// late, so at most half of the live engines are set aside.
+    /// reset. This also covers cut links and lost progress notifications. Where notifications come late, it
+    /// sets aside engines that work, so at most half of the live engines are set aside.
     fn set_aside_silent(&mut self, now: Moment) {
         if self.all_healthy(now) {
             return;
@@ -570,11 +578,14 @@
         }
     }
 
-    /// If the list has to be requested, requests it long before the age at which rule 3 counts a change as
-    /// known.
-    fn follow_list(&mut self, now: Moment) -> Option<Decision> {
+    /// If the list has to be requested, requests it long before its age reaches `max_list_age`. At that age,
+    /// a change counts as known to this router, and nothing may be sent to an engine later than the grace
+    /// period after the router knows that it is draining or gone.
+    fn request_list(&mut self, now: Moment) -> Option<Decision> {
         let request_period = self.monitoring.max_list_age?.mul_f64(0.25);
-        if self.subscribed || self.list_requested_at.is_some_and(|at| now.since(at) < request_period) {
+        if self.receives_list_changes
+            || self.list_requested_at.is_some_and(|at| now.since(at) < request_period)
+        {
             return None;
         }
         self.list_requested_at = Some(now);
@@ -591,17 +602,20 @@
         Some(if throttle_allowed { throttle } else { Decision::CancelForGood { job, why } })
     }
 
-    /// Dispatches the first job in rank order that may go to some engine, to the engine with the lowest cost.
+    /// Dispatches the first job in rank order that may go to any engine. It goes to the engine with the
+    /// lowest cost; the engines are shuffled so that equal costs are decided at random.
     fn dispatch(&mut self, now: Moment) -> Option<Decision> {
-        let ties: u64 = self.rng.random();
+        let shuffle_seed: u64 = self.rng.random();
         let undispatched_waiting = self.jobs.values().any(|job| !job.closed && job.dispatches.is_empty());
-        let copy_allowed = |job: &Job| {
+        let second_dispatch_allowed = |job: &Job| {
             self.types[job.type_id.0].effect == Effect::Restartable && job.dispatches_in_flight() == 1
         };
-        let needs_copy =
-            |job: &Job| copy_allowed(job) && job.dispatches.iter().any(|d| self.is_lost(job, d, now));
+        let needs_second_dispatch = |job: &Job| {
+            second_dispatch_allowed(job) && job.dispatches.iter().any(|d| self.is_lost(job, d, now))
+        };
         let waits = |job: &Job| {
-            !job.closed && (job.dispatches_in_flight() == 0 || (!undispatched_waiting && needs_copy(job)))
+            !job.closed
+                && (job.dispatches_in_flight() == 0 || (!undispatched_waiting && needs_second_dispatch(job)))
         };
         let waiting = self.jobs.iter().filter(|(_, job)| waits(job));
         let mut waiting: Vec<_> = waiting.map(|(id, job)| (self.rank(job, now), *id)).collect();
@@ -612,13 +626,14 @@
         let mut engines = self.usable();
         let (in_flight, limit) =
             (self.threads_in_flight(&engines, now), self.limit_factor * self.initial_limit(&engines, now).0);
-        engines.shuffle(&mut Pcg32::seed_from_u64(ties));
+        engines.shuffle(&mut Pcg32::seed_from_u64(shuffle_seed));
         let any_cold = engines.iter().any(|(_, e)| self.is_cold(e, now));
         let weighted_work = |e: &Engine| Some((self.other_routers_work(e)?, self.report_weight(e, now)));
         let reported = self.engines.values().filter_map(weighted_work);
         let reported = reported
             .fold((0.0, 1e-9), |(sum, weights), (work, weight)| (sum + work * weight, weights + weight));
-        let (average, load_wait) = (
+        // Engines without a recent load report are assumed to have the average work of other routers.
+        let (average_other_work, load_wait) = (
             reported.0 / reported.1,
             self.derived.max_load_time.secs() * LOAD_WAIT_SLA_FRACTION * (1.0 - self.share()),
         );
@@ -653,8 +668,9 @@
             });
             let extra_wait =
                 |takes_loads: bool| if t.waits_for_loads && takes_loads { load_wait } else { 0.0 };
-            let cost =
-                |id, e, takes_loads| extra_wait(takes_loads) + self.wait_and_run(job, id, e, average, now);
+            let cost = |id, e, takes_loads| {
+                extra_wait(takes_loads) + self.wait_and_run(job, id, e, average_other_work, now)
+            };
             let costs = allowed.map(|((id, e), takes_loads)| (cost(*id, e, takes_loads), *id));
             costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, engine)| (*id, engine))
         })?;
@@ -668,7 +684,7 @@
             self.types.iter().map(|t| t.billed_value).sum::<f64>() / self.types.len() as f64;
         let relative_density = self.value_density(&self.jobs[&id], now) / (mean_value / mean_work);
         let shorten_timeout = !self.retry_limits.can_cancel && !self.retry_limits.concurrent_dispatches;
-        let before = self.repeat_before(&self.jobs[&id]);
+        let repeat_deadline = self.repeat_deadline(&self.jobs[&id]);
         let (job, engine) = (self.jobs.get_mut(&id)?, self.engines.get_mut(&to)?);
         let t = &self.types[job.type_id.0];
         let max_grant = self.memory_grants.max_grant_share
@@ -695,13 +711,20 @@
         let dispatch = Dispatch { engine: to, zone, cell, sent: now, warm, grant, ..Dispatch::default() };
         job.dispatches.push(dispatch);
         self.dispatches_since_probe += 1;
-        Some(Decision::Dispatch { job: id, engine: to, timeout, before, memory: grant, priority })
+        Some(Decision::Dispatch {
+            job: id,
+            engine: to,
+            timeout,
+            before: repeat_deadline,
+            memory: grant,
+            priority,
+        })
     }
 
     /// Whether a dispatch in flight should be replaced: its engine was set aside, or its remaining time at
-    /// its present rate exceeds `LOST_REMAINING_RUNS` new runs. Threat: hung engines and bad query plans. It
-    /// also catches slow engines. It may hurt where the reported fractions of work done are far from the
-    /// truth.
+    /// its present rate exceeds `LOST_REMAINING_RUNS` new runs. Threat: hung engines and bad query plans.
+    /// This also covers slow engines. Where the reported fractions of work done are far from the truth, it
+    /// may replace the wrong dispatches.
     fn is_lost(&self, job: &Job, dispatch: &Dispatch, now: Moment) -> bool {
         if dispatch.outcome.is_some() || dispatch.cancelled {
             return false;
@@ -722,7 +745,7 @@
         (set_aside || slow) && now + new_run < job.deadline
     }
 
-    /// How long a new dispatch of a job would take, by the recent run times of its type.
+    /// How long a new dispatch of a job would take, estimated from the recent run times of its type.
     fn expected_run(&self, job: &Job) -> Span {
         run_time(&self.types[job.type_id.0], job.work).mul_f64(self.estimates.stretch[job.type_id.0].max(1.0))
     }
@@ -741,13 +764,14 @@
     }
 
     /// Probes an engine that is set aside, suspected, or silent with dispatches in flight. If load reports
-    /// come only with probes, it also probes a random engine once per `DISPATCHES_PER_PROBE` dispatches. The
-    /// choice is random because probes in a fixed order would give all routers reports of the same engines.
+    /// come only with probes, this also probes a random engine once per `DISPATCHES_PER_PROBE` dispatches.
+    /// The choice is random because probes in a fixed order would give all routers reports of the same
+    /// engines.
     fn probe(&mut self, now: Moment) -> Option<Decision> {
-        let (min_gap, max_quiet) =
+        let (min_gap, silence_before_probe) =
             (self.monitoring.connect_timeout.mul_f64(2.0), self.derived.max_silence.mul_f64(0.5));
         let due = |e: &Engine| !e.probe_in_flight && e.probed_at.is_none_or(|at| now.since(at) >= min_gap);
-        let suspect = |e: &Engine| e.silent(now, max_quiet) || self.suspicion(e, None, now) > 0.0;
+        let suspect = |e: &Engine| e.silent(now, silence_before_probe) || self.suspicion(e, None, now) > 0.0;
         let needs_probe =
             |e: &Engine| e.status != EngineStatus::Gone && (e.probes_to_return.is_some() || suspect(e));
         let healthy = self.healthy_until.is_some_and(|until| now <= until);
@@ -767,16 +791,20 @@
         Some(Decision::Probe { engine: pick? })
     }
 
-    /// A single timer for all purposes: short while there are jobs, long while engines are set aside.
+    /// Requests the next call of `next_decision`. The one timer serves all purposes: its period is short
+    /// while there are jobs, and long while only set-aside engines or the engine list have to be checked.
     fn wake(&mut self, now: Moment) -> Option<Decision> {
         if self.jobs.is_empty()
-            && self.subscribed
+            && self.receives_list_changes
             && self.engines.values().all(|e| e.probes_to_return.is_none())
         {
             return None;
         }
-        let after =
-            if self.jobs.is_empty() { self.monitoring.connect_timeout } else { self.answer_policy.slack };
+        let after = if self.jobs.is_empty() {
+            self.monitoring.connect_timeout
+        } else {
+            self.answer_policy.answer_tolerance
+        };
         let after = after.max(Span::from_micros(1));
         if self.wake_at.is_some_and(|at| at > now && at <= now + after) {
             return None;
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -14,8 +14,9 @@
 const URGENCY_OFFSET: f64 = 0.25;
 
 impl Router {
-    /// Rule 4 (cold engines). After its own start a router waits for one window, because it does not know
-    /// what it sent before.
+    /// Whether a job of this type may be sent to the engine without the risk that all routers together
+    /// overload it while it is cold. After its own start a router waits for one window, because it does not
+    /// know what it sent before.
     pub(super) fn slow_start_allows(&self, engine: &Engine, type_id: TypeId, now: Moment) -> bool {
         let work = self.estimates.work[type_id.0].value;
         let budget_allows = || self.slow_start.allows(engine, self.cores(engine.kind), work, now);
@@ -51,20 +52,21 @@
     }
 
     /// Estimated wait plus run time of a job at an engine, in seconds, with penalties for a repeat at the
-    /// same engine, errors, suspected engines and other zones.
+    /// same engine, errors, suspected engines and other zones. `average_other_work` is the average work of
+    /// other routers at an engine, in seconds of one thread.
     pub(super) fn wait_and_run(
-        &self, job: &Job, id: EngineId, engine: &Engine, average: f64, now: Moment,
+        &self, job: &Job, id: EngineId, engine: &Engine, average_other_work: f64, now: Moment,
     ) -> f64 {
         let t = &self.types[job.type_id.0];
         let (cores, mean) = (self.effective_cores(engine, now), self.estimates.mean_work.value);
-        let average = if self.is_cold(engine, now) { 0.0 } else { average };
+        let average_other_work = if self.is_cold(engine, now) { 0.0 } else { average_other_work };
         let reported_at = engine.report.map(|report| report.at);
         let own = engine
             .in_flight
             .values()
             .map(|s| if reported_at.is_some_and(|at| s.at < at) { mean } else { s.work });
-        let others = self.other_routers_work(engine).unwrap_or(average) - average;
-        let queued = own.sum::<f64>() + average + others * self.report_weight(engine, now);
+        let others = self.other_routers_work(engine).unwrap_or(average_other_work) - average_other_work;
+        let queued = own.sum::<f64>() + average_other_work + others * self.report_weight(engine, now);
         let warm = self.derived.is_warm(engine.group_sent_at.get(&job.group), now);
         let warm = warm && engine.threads_in_flight() <= cores * self.share();
         let discount = if warm { self.estimates.warm_ratio.value.clamp(0.1, 1.0) } else { 1.0 };
@@ -76,8 +78,8 @@
         if job.dispatches.iter().any(|d| d.engine == id) {
             total += t.sla.secs();
         }
-        // Threat: an engine that fails jobs of a type quickly looks idle and attracts all of them. Jobs that
-        // may run only once consider errors of any type. This also catches lost tables. The rate is squared
+        // Threat: an engine that fails jobs of a type quickly looks idle and attracts all of them. For jobs
+        // that may run only once, errors of any type count. This also covers lost tables. The rate is squared
         // because bad requests cause a few errors at all engines.
         let decay_time = self.derived.max_silence.secs();
         let decayed =
@@ -95,8 +97,8 @@
         total
     }
 
-    /// An exception to the ordinary path (Index/Load): the remaining time, in seconds, for which a load locks
-    /// the table group there: a load of this router, or presumably one of another router.
+    /// The remaining time, in seconds, for which a load locks the table group at the engine: a load of this
+    /// router, or presumably one of another router. This cost is an addition to Index/Load.
     pub(super) fn load_lock_wait(&self, engine: &Engine, group: GroupId, now: Moment) -> f64 {
         let run = self.derived.max_load_time;
         let own = self.own_loads(engine, group).map(|s| (s.at + run).max(now + run.mul_f64(0.25)));
@@ -113,7 +115,8 @@
     /// For each usable engine, whether it takes loads of a table group. Half of the engines do, drawn
     /// identically by all routers with the same list, each with at most one load of this router in flight.
     /// Threat: loads that queue for a group at every engine, with all other jobs of the group behind them on
-    /// idle engines. It also stops bursts of loads. It may hurt where most of the work is loads.
+    /// idle engines. This also limits bursts of loads. It may cost throughput where most of the work is
+    /// loads.
     pub(super) fn load_engines(group: GroupId, usable: &[(EngineId, &Engine)]) -> Vec<bool> {
         let draw = |e: &Engine| Pcg32::new(group.0 as u64, e.stable_hash).random::<u32>();
         let mut drawn: Vec<_> = usable.iter().enumerate().map(|(index, (_, e))| (draw(e), index)).collect();
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -1,4 +1,4 @@
-//! The rules: whether a job is given up, throttled, dispatched or dispatched again.
+//! The conditions under which a job is given up, throttled, dispatched or dispatched again.
 
 use crate::interface::*;
 use crate::records::{Engine, Job, run_time};
@@ -34,15 +34,17 @@
         (now + self.expected_run(job) > job.deadline).then_some(GiveUpReason::NoTimeLeft)
     }
 
-    /// Rule 2 (repeats) for throttling: whether the client may send the job again.
+    /// Whether the client may send the job again, so that the job may be throttled: no effect may occur
+    /// twice.
     pub(super) fn may_throttle(&self, job: &Job) -> bool {
         let effect = self.types[job.type_id.0].effect;
         matches!(effect, Effect::Restartable | Effect::Keyed { scope: Scope::All, .. })
             || job.may_have_run().next().is_none()
     }
 
-    /// Rule 2 (repeats) for dispatches: whether the job may be dispatched to `engine`, or to any engine if
-    /// `None`.
+    /// Whether the job may be dispatched to `engine`, or to any engine if `None`, without taking effect
+    /// twice: a run-once job only if every earlier dispatch provably never ran, a keyed one only within its
+    /// scope and window.
     pub(super) fn repeat_safe(&self, job: &Job, engine: Option<&Engine>, now: Moment) -> bool {
         match self.types[job.type_id.0].effect {
             Effect::Restartable => true,
@@ -58,21 +60,24 @@
         }
     }
 
-    /// Time before which a keyed job that may have run must begin again. It is passed to the host
-    /// because the time that the dispatch takes to get there is unknown here.
-    pub(super) fn repeat_before(&self, job: &Job) -> Option<Moment> {
+    /// The time before which a further dispatch of a keyed job that may have run must begin at its engine.
+    /// The host enforces it, because the time that the dispatch takes to reach the engine is unknown here.
+    pub(super) fn repeat_deadline(&self, job: &Job) -> Option<Moment> {
         match self.types[job.type_id.0].effect {
             Effect::Keyed { window, .. } => job.may_have_run().map(|d| d.sent + window).min(),
             _ => None,
         }
     }
 
-    /// The single check that every dispatch must pass: rules 1 to 7, in this order. In doubt it refuses.
+    /// The single check that every dispatch must pass; in doubt it refuses. Its conditions, in this order:
+    /// the job is open and in time; it takes no effect twice; the engine is neither draining nor gone; a cold
+    /// engine is not overloaded; jobs of an order key keep their order and pauses; zones and kinds permit the
+    /// engine; and the retry limits and the retry budget allow the dispatch.
     pub(super) fn is_permitted(&self, id: JobId, job: &Job, engine: &Engine, now: Moment) -> bool {
         let t = &self.types[job.type_id.0];
         let has_turn = job.key.and_then(|key| self.keys.get(&key)).is_none_or(|queue| {
-            let rested = now >= queue.rest_until && queue.in_doubt == 0;
-            queue.jobs.front() == Some(&id) && (rested || !job.dispatches.is_empty())
+            let pause_is_over = now >= queue.paused_until && queue.in_doubt == 0;
+            queue.jobs.front() == Some(&id) && (pause_is_over || !job.dispatches.is_empty())
         });
         !job.closed
             && now < job.deadline
@@ -87,7 +92,7 @@
             && (job.dispatches.is_empty() || self.retry_budget_left())
     }
 
-    /// Rule 7: whether the retry budget allows one more dispatch.
+    /// Whether the retry budget allows one more dispatch after a job's first.
     pub(super) fn retry_budget_left(&self) -> bool {
         let left = |r: &RetryBudget| {
             r.free_retries + r.retry_ratio * self.accepted_at.len() as f64 - self.retried_at.len() as f64
--- a/src/records.rs
+++ b/src/records.rs
@@ -8,8 +8,8 @@
 
 /// Fraction of its SLA time that a usual job runs on its threads, assumed until it is learned.
 const INITIAL_WORK_SLA_FRACTION: f64 = 0.5;
-/// An engine with dispatches in flight counts as silent after this many progress periods, or longest SLA
-/// times if engines send no progress notifications, in which nothing came from it.
+/// An engine with dispatches in flight counts as silent when it has sent nothing for this many progress
+/// periods. If engines send no progress notifications, the longest SLA time is used as the period.
 const SILENT_PERIODS: f64 = 2.5;
 
 /// Values that depend on the settings alone and that many decisions use, computed once.
@@ -21,8 +21,8 @@
     pub(crate) max_load_time: Span,
     /// How long a table group stays warm on an engine after the last dispatch for it.
     pub(crate) warm_period: Span,
-    /// Usual work of the largest type, in seconds of one thread.
-    pub(crate) largest_work: f64,
+    /// The largest initial work of any type (see `initial_work`), in seconds of one thread.
+    pub(crate) max_initial_work: f64,
 }
 
 impl DerivedSettings {
@@ -34,11 +34,11 @@
             max_silence: period.mul_f64(SILENT_PERIODS),
             max_load_time: loads.map(|t| t.sla).max().unwrap_or_default(),
             warm_period: types.iter().map(|t| t.timeout).min().unwrap_or_default(),
-            largest_work: types.iter().map(initial_work).fold(0.0, f64::max),
+            max_initial_work: types.iter().map(initial_work).fold(0.0, f64::max),
         }
     }
 
-    /// Whether a table group is still warm whose last dispatch was at `sent`, if there was any.
+    /// Whether a table group is still warm. `sent` is the time of its last dispatch, if there was one.
     pub(crate) fn is_warm(&self, sent: Option<&Moment>, now: Moment) -> bool {
         sent.is_some_and(|at| now.since(*at) <= self.warm_period)
     }
@@ -49,21 +49,23 @@
 pub(crate) struct Dispatch {
     pub(crate) engine: EngineId,
     pub(crate) zone: ZoneId,
+    /// The engine's cell: the set of engines that share their record of the keys they have seen.
     pub(crate) cell: CellId,
     pub(crate) sent: Moment,
     /// Whether the job's table group was warm on the engine.
     pub(crate) warm: bool,
     /// Memory grant in megabytes; 0 if the engine chooses.
     pub(crate) grant: f64,
-    /// Whether it spilled to disk because its grant was too small.
+    /// Whether the query spilled to disk because its grant was too small.
     pub(crate) spilled: bool,
-    /// Whether it waited for memory.
+    /// Whether the query waited for memory.
     pub(crate) waited_for_memory: bool,
-    /// Whether it waited for a load that had locked its table group.
+    /// Whether the query waited for a load that had locked its table group.
     pub(crate) waited_for_load: bool,
     /// Whether a progress notification already predicted that it would miss its SLA time.
     pub(crate) miss_predicted: bool,
-    /// The fraction of the work done by the last progress notification that stated one, and when that came.
+    /// The fraction of the work done according to the last progress notification that stated one, and the
+    /// time of that notification.
     pub(crate) progress: Option<(Moment, f64)>,
     pub(crate) outcome: Option<Outcome>,
     pub(crate) cancelled: bool,
@@ -75,11 +77,11 @@
     pub(crate) type_id: TypeId,
     pub(crate) group: GroupId,
     pub(crate) key: Option<KeyId>,
-    /// Work as the client estimated it, if it did.
+    /// The client's estimate of the work, if it gave one.
     pub(crate) estimate: Option<Span>,
     /// Estimated work in seconds of one thread, corrected by the learned bias.
     pub(crate) work: f64,
-    /// Memory in megabytes as the client estimated it.
+    /// The client's estimate of the memory, in megabytes.
     pub(crate) memory: f64,
     /// End of the SLA time.
     pub(crate) sla_due: Moment,
@@ -107,7 +109,7 @@
 /// The last load report of an engine.
 #[derive(Clone, Copy)]
 pub(crate) struct Report {
-    /// When the report came.
+    /// When the report arrived.
     pub(crate) at: Moment,
     /// Number of running queries, if the report states it.
     pub(crate) active: Option<f64>,
@@ -143,21 +145,23 @@
     pub(crate) report: Option<Report>,
     /// Time of the last dispatch for each table group. Entries are removed after the warm period.
     pub(crate) group_sent_at: BTreeMap<GroupId, Moment>,
-    /// Until when a load of another router presumably locks a table group. Past entries are removed.
+    /// The time until which a load of another router presumably locks a table group. Past entries are
+    /// removed.
     pub(crate) locked_until: BTreeMap<GroupId, Moment>,
     /// This router's dispatches in flight. An entry is removed by its outcome.
     pub(crate) in_flight: BTreeMap<(JobId, usize), InFlight>,
-    /// Usual work of the recent dispatches. Entries are removed when they have left the cold-start window.
+    /// Time of each recent dispatch and the usual work of its type. Entries are removed when they have left
+    /// the cold-start window.
     pub(crate) recent_work: Vec<(Moment, f64)>,
-    /// When the last answer or notification came from it.
+    /// When the engine last sent an answer or a notification.
     pub(crate) last_contact: Moment,
     /// Recent error rate of its answers and the time of the last answer, by type, and for all types under
     /// `None`.
     pub(crate) error_rates: BTreeMap<Option<TypeId>, (RunningMean, Moment)>,
-    /// Suspicion (0 to 1) that other routers reported, and when, by type, and for all types under `None`.
-    /// Entries older than the maximum silence are removed.
+    /// Level of suspicion (0 to 1) that other routers reported and the time of the report, by type, and for
+    /// all types under `None`. Entries older than the maximum silence are removed.
     pub(crate) peer_suspicions: BTreeMap<Option<TypeId>, (f64, Moment)>,
-    /// How much longer the transfer of a usual result takes than from other engines.
+    /// How much longer the transfer of a usual result takes from this engine than from others.
     pub(crate) extra_transfer_time: Span,
     /// Whether a probe is in flight.
     pub(crate) probe_in_flight: bool,
@@ -168,7 +172,7 @@
 }
 
 impl Engine {
-    /// Threads of this router's dispatches in flight there.
+    /// Threads of this router's dispatches in flight at the engine.
     pub(crate) fn threads_in_flight(&self) -> f64 {
         self.in_flight.values().map(|sent| sent.threads).sum()
     }
@@ -181,12 +185,13 @@
         self.peer_suspicions.retain(|_, (_, at)| now.since(*at) <= derived.max_silence);
     }
 
-    /// Whether it had dispatches in flight and sent nothing for longer than `span`.
+    /// Whether the engine has had dispatches in flight and sent nothing for longer than `span`.
     pub(crate) fn silent(&self, now: Moment, span: Span) -> bool {
         self.silent_since().is_some_and(|since| now.since(since) > span)
     }
 
-    /// Since when it has had dispatches in flight and sent nothing; `None` if nothing is in flight.
+    /// The time since which the engine has had dispatches in flight and sent nothing; `None` if nothing is in
+    /// flight.
     pub(crate) fn silent_since(&self) -> Option<Moment> {
         let first = self.in_flight.values().map(|sent| sent.at).min();
         first.map(|first| first.max(self.last_contact))
@@ -197,10 +202,11 @@
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub(crate) jobs: VecDeque<JobId>,
-    /// Until when no job of the key may be dispatched.
-    pub(crate) rest_until: Moment,
-    /// Number of dispatches that ended without an answer and may still run. The host reports when one no
-    /// longer does.
+    /// Before this time, no job of the key may be dispatched for the first time. The pause follows a
+    /// time-out, reset or cancellation, after which the engine may still be running a job of the key.
+    pub(crate) paused_until: Moment,
+    /// Number of dispatches that ended without an answer and may still run. The host calls
+    /// `Router::key_settled` when one of them no longer runs.
     pub(crate) in_doubt: usize,
 }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start: limits the work that is sent to a cold engine (rule 4). A cold engine goes down when all
-//! routers together send it more than a factor of its present capacity for some time. The routers therefore
-//! take turns, without messages between them and without a common clock.
+//! Slow start: limits the work that is sent to a cold engine. A cold engine goes down when all routers
+//! together send it more than a factor of its present capacity for some time. The routers therefore take
+//! turns, without messages between them and without a common clock.
 
 use crate::interface::{ColdStart, Fleet};
 use crate::records::{DerivedSettings, Engine};
@@ -8,7 +8,8 @@
 
 /// Fraction of the budget that one window uses: two windows may overlap.
 const BUDGET_FRACTION: f64 = 0.5;
-/// Approximate distance between the turns of routers with consecutive numbers, as a fraction of all turns.
+/// Approximate distance in the order of turns between routers with consecutive numbers, as a fraction of the
+/// number of routers.
 const STRIDE_FRACTION: f64 = 0.618;
 
 /// The settings of slow start and this router's position in the order of turns.
@@ -18,18 +19,18 @@
     router_count: u64,
     /// This router's position in the order of turns.
     position: u64,
-    /// Usual work of the largest type, in seconds of one thread.
-    largest_work: f64,
+    /// The largest initial work of any type, in seconds of one thread.
+    max_initial_work: f64,
 }
 
 impl SlowStart {
     pub(crate) fn new(settings: ColdStart, fleet: &Fleet, derived: &DerivedSettings) -> Self {
         let router_count = fleet.router_count.max(1) as u64;
         let position = fleet.router_index as u64 % router_count * stride(router_count) % router_count;
-        Self { settings, router_count, position, largest_work: derived.largest_work }
+        Self { settings, router_count, position, max_initial_work: derived.max_initial_work }
     }
 
-    /// How long too much work has to arrive before a cold engine goes down.
+    /// The time for which too much work has to arrive before a cold engine goes down.
     pub(crate) fn window(&self) -> Span {
         self.settings.overload_window
     }
@@ -38,9 +39,9 @@
         engine.cold_since.is_some_and(|since| now.since(since) < self.settings.cold_period)
     }
 
-    /// The fraction of its capacity that an engine has, below 1 while it is cold. The settings give only the
-    /// initial fraction and the time at which the whole capacity is available, so a linear increase between
-    /// them is assumed.
+    /// The fraction of its capacity that an engine has now; it is below 1 while the engine is cold. The
+    /// settings give only the initial fraction and the time at which the whole capacity is available, so a
+    /// linear increase between them is assumed.
     pub(crate) fn capacity_fraction(&self, engine: &Engine, now: Moment) -> f64 {
         let ColdStart { cold_period, start_capacity, .. } = self.settings;
         let age = engine.cold_since.map_or(cold_period, |since| now.since(since));
@@ -58,9 +59,9 @@
     /// Threat: wall clocks that step or differ would make turns coincide, so none is used. Routers that learn
     /// of a start late, or estimate its age after their own start, have windows that are offset from the
     /// others'. Each of them still has its turn equally rarely, and routers with consecutive numbers are far
-    /// apart in the order of turns, so the slack that the rule allows covers turns that coincide by chance.
-    /// It may hurt where a start becomes known late: the engine is then assumed to be younger than it is and
-    /// gets less work.
+    /// apart in the order of turns, so the slack in the limit on a cold engine's work covers turns that
+    /// coincide by chance. Where a start becomes known late, the engine is assumed to be younger than it is
+    /// and gets less work.
     pub(crate) fn allows(&self, engine: &Engine, cores: f64, work: f64, now: Moment) -> bool {
         let (window_length, since) = (self.settings.overload_window, engine.cold_since.unwrap_or(now));
         let window = |at: Moment| at.since(since).micros() / window_length.micros().max(1);
@@ -68,7 +69,8 @@
         let start = since + Span::from_micros(current * window_length.micros());
         let capacity = cores * self.capacity_fraction(engine, start);
         let budget = BUDGET_FRACTION * self.settings.overload_factor * capacity * window_length.secs();
-        let routers_per_window = (budget / self.largest_work).floor().clamp(1.0, self.router_count as f64);
+        let routers_per_window =
+            (budget / self.max_initial_work).floor().clamp(1.0, self.router_count as f64);
         let first = (engine.stable_hash % self.router_count + current * routers_per_window as u64)
             % self.router_count;
         let has_turn =
@@ -81,7 +83,7 @@
 
 /// A step width that visits every position in the order of turns once and separates routers with consecutive
 /// numbers. Threat: routers of one zone often have consecutive numbers, and a network partition delays the
-/// news of a start for all of them; their turns must not be consecutive too.
+/// report of a start for all of them; their turns must not be consecutive too.
 fn stride(router_count: u64) -> u64 {
     let ideal = (router_count as f64 * STRIDE_FRACTION).round().max(1.0) as u64;
     (ideal..).find(|step| greatest_common_divisor(*step, router_count) == 1).unwrap_or(1)
--- a/tests/scenarios/host.rs
+++ b/tests/scenarios/host.rs
@@ -82,7 +82,7 @@
                 max_dispatches: 4,
                 concurrent_dispatches: false,
                 can_cancel: true,
-                key_rest: Span::ZERO,
+                key_pause: Span::ZERO,
                 retry_budget: None,
             },
             monitoring: Monitoring {
@@ -93,7 +93,7 @@
                 max_list_age: None,
             },
             answer_policy: AnswerPolicy {
-                slack: ms(20),
+                answer_tolerance: ms(20),
                 max_retry_after: Some(ms(2_000)),
                 value_by_work: false,
                 over_share_factor: 0.1,
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Scenario tests of the decision module, one for each rule and each known failure.
+//! Scenario tests of the decision module, one for each condition of a dispatch and each known failure.
 
 mod host;
 
@@ -150,10 +150,10 @@
 }
 
 #[test]
-fn key_in_doubt_is_blocked_until_settled_and_then_rests() {
+fn key_in_doubt_is_blocked_until_settled_and_then_pauses() {
     let mut host = Host::new(|start| {
         (start.types[0].ordered, start.types[0].effect) = (true, Effect::RunOnce);
-        start.retry_limits.key_rest = ms(400);
+        start.retry_limits.key_pause = ms(400);
     });
     let first = host.job_of(LOOKUP, 1, None, Some(3), 50);
     let second = host.job_of(LOOKUP, 1, None, Some(3), 50);
@@ -262,10 +262,10 @@
 }
 
 #[test]
-fn jobs_of_one_key_run_in_order_and_the_key_rests_after_a_timeout() {
+fn jobs_of_one_key_run_in_order_with_a_pause_after_a_timeout() {
     let mut host = Host::new(|start| {
         start.types[0].ordered = true;
-        start.retry_limits.key_rest = ms(400);
+        start.retry_limits.key_pause = ms(400);
         start.retry_limits.max_dispatches = 1;
     });
     let big = host.job_of(LOOKUP, 1, None, Some(3), 200);
