--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Takes in a message that another voter sent to this one.
+    /// Handles a message that another voter sent to this one.
     pub fn receive(&mut self, now: Moment, from: MemberId, bytes: &[u8]) {
         self.node.receive(now, NodeId(from.0), bytes);
     }
 
-    /// Takes in a voter's notice whose signature has been verified.
+    /// Handles a voter's notice whose signature has been verified.
     pub fn receive_notice(&mut self, now: Moment, from: MemberId, subject: u8, payload: &[u8]) {
         let state = match subject {
             ATTESTATION_SUBJECT => Attestation::decode(payload).map(|attestation| (attestation, None)),
--- a/crates/router/src/arrivals.rs
+++ b/crates/router/src/arrivals.rs
@@ -1,6 +1,6 @@
-//! Lower bounds for the arrival times of received bytes. Clients count their time from when they send a
-//! request; the time that it spent in the kernel while this thread was busy, stopped or not reading is taken
-//! off that time.
+//! Lower bounds for the arrival times of received bytes. Clients count their waiting time from when they send
+//! a request. So the router subtracts from it the time that the request spent in the kernel while this thread
+//! was busy, stopped or not reading.
 
 use std::cell::Cell;
 use std::io;
@@ -14,14 +14,15 @@
 use crate::interrupted_calls::retry_interrupted;
 use crate::tasks::Tasks;
 
-/// Interval at which the event loop records that it runs and hears of its sockets.
+/// Interval of the ticks, at which the event loop records that it runs and polls its sockets.
 const TICK_INTERVAL: Span = Span::from_micros(25_000);
-/// Bytes that may have arrived at most this long before they were read count as having arrived when they were
-/// read.
+/// If the lower bound for the arrival of bytes is at most this long before they were read, they count as
+/// having arrived when they were read.
 const ARRIVAL_TOLERANCE: Span = Span::from_micros(100_000);
 
-/// Times at which this thread's event loop ran. Between two of them the reactor reported every ready socket
-/// at least once, so what a waiting reader reads after the third arrived after the first.
+/// The last three ticks: times at which this thread's event loop ran. Between two ticks the reactor reported
+/// every ready socket at least once. So if a reader was waiting for its socket, the bytes that it reads after
+/// the third tick arrived after the first tick.
 #[derive(Clone)]
 pub struct LoopTicks(Rc<TickTimes>);
 
@@ -66,7 +67,7 @@
         stalled
     }
 
-    /// What a waiting reader reads now arrived after this moment.
+    /// Returns the first of the last three ticks. Bytes that a waiting reader reads now arrived after it.
     fn oldest_tick(&self) -> Moment {
         self.0.last_three[0].get()
     }
@@ -85,7 +86,7 @@
 }
 
 impl ArrivalTimes {
-    /// For a socket on which nothing had arrived by the given moment.
+    /// Creates the bounds for a socket on which nothing had arrived by `empty_at`.
     pub fn new(empty_at: Moment, clock: Clock, loop_ticks: LoopTicks) -> Self {
         let unread_since = Cell::new(None);
         Self { clock, loop_ticks, empty_at: Cell::new(empty_at), earliest: Cell::new(empty_at), unread_since }
@@ -125,10 +126,11 @@
         self.earliest.get()
     }
 
-    /// The moment from which the time of a request counts whose last bytes were read last. Threat: a deadline
-    /// is passed on that ends after the client has stopped waiting. The bound also covers a process that was
-    /// stopped, a wait in the accept queue and a client that was not read. Cost: where the bytes arrived late
-    /// in a span in which the thread was busy, the request gets less time than it has.
+    /// Returns the moment from which a client's waiting time counts, for the request that the bytes read last
+    /// complete. Threat: a deadline is passed on that ends after the client has stopped waiting. The bound
+    /// also covers a process that was stopped, a wait in the accept queue and a client whose connection was
+    /// not read. Cost: if the bytes arrived towards the end of a period in which the thread was busy, the
+    /// request gets less time than its client allows.
     pub fn request_start(&self) -> Moment {
         let (now, earliest) = (self.clock.now(), self.earliest.get());
         if now.since(earliest) <= ARRIVAL_TOLERANCE { now } else { earliest }
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -329,7 +329,7 @@
             is_engine_open: self.engine.is_live.get(),
             deadline: self.dispatch.deadline,
             repeat_deadline: self.dispatch.repeat_deadline,
-            is_called_off: self.priorities.is_closed(),
+            is_cancelled: self.priorities.is_closed(),
         }
     }
 
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -23,7 +23,7 @@
         self.unix + Span::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// Returns once the moment has come.
+    /// Waits until the given moment.
     pub async fn sleep_until(self, moment: Moment) {
         sleep(moment.since(self.now())).await;
     }
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -1,5 +1,5 @@
 //! The actor of the decision module: the only owner of the module's router, its names, its timer and the open
-//! jobs. It takes in all queued events, then pulls decisions until there is none left.
+//! jobs. It handles all queued events, then pulls decisions until there is none left.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -30,26 +30,27 @@
 
 /// Capacity of the queue of events, and of the one of urgent events.
 pub const MAILBOX_CAPACITY: usize = 4096;
-/// Maximum number of events that are taken in before decisions are pulled, and of decisions that are pulled
-/// before other tasks run: what clients and discovery send meanwhile should be read soon.
+/// Maximum number of events that are handled before decisions are pulled, and of decisions that are pulled
+/// before other tasks run, so that messages from clients and discovery are read soon.
 const MAX_EVENTS_PER_TURN: usize = 512;
 const MAX_DECISIONS_PER_TURN: usize = 32;
-/// Capacity for new priorities that one query has not taken yet.
+/// Capacity of a query's queue of changed priorities that have not been sent to its engine yet.
 const PRIORITY_QUEUE_CAPACITY: usize = 4;
 
-/// A job that the module holds.
+/// A job that the module has a record of.
 struct OpenJob {
+    /// The number of the client's connection.
     client: u64,
     statement: Rc<Statement>,
-    kind: TypeId,
+    type_id: TypeId,
     deadline: Moment,
-    /// The order key, where its type keeps order.
+    /// The order key, if jobs of the type keep order.
     order_key: Option<KeyId>,
-    /// Taken by the one answer.
+    /// The right to send the final answer; `None` once the answer was sent or the request withdrawn.
     responder: Option<Responder>,
     /// How many dispatches were made so far.
     dispatches: usize,
-    /// Whether one of the dispatches ended in a way that it may have run.
+    /// Whether a dispatch has ended without proof that it never ran.
     may_have_run: bool,
     /// The dispatches in flight, each with its engine; removed when they end.
     in_flight: HashMap<usize, (EngineId, Sender<u8>)>,
@@ -66,7 +67,7 @@
     start: Option<StartTime>,
 }
 
-/// An engine: its handle, and its line of the list for a module that restarts.
+/// An engine: its handle and its line of the engine list. A module that restarts receives the line again.
 struct KnownEngine {
     handle: EngineHandle,
     line: ListLine,
@@ -94,11 +95,14 @@
     events: Sender<Event>,
     /// The jobs that await an answer, by connection and request number; removed when answered.
     jobs_by_request: HashMap<(u64, u32), JobId>,
-    /// Entries of both are removed when the module forgets them.
+    /// A job is removed when the module returns `Decision::Forget` for it.
     jobs: HashMap<JobId, OpenJob>,
+    /// An engine is removed when the module returns `Decision::Forget` for it.
     engines: HashMap<EngineId, KnownEngine>,
     /// The job of each order key that has a dispatch in flight; removed when the dispatch ends.
     keys_in_flight: HashMap<KeyId, JobId>,
+    /// Keys with queries that may still run after their dispatches ended, and dispatches that were in flight
+    /// when the module restarted.
     unsettled: UnsettledKeys,
     /// Whether the complete engine list has been received once.
     list_received: bool,
@@ -109,6 +113,7 @@
     last_answer_due: Option<Moment>,
     /// The gossip actor, if gossip is enabled.
     gossip: Option<GossipHandle>,
+    /// Measured rates at which engines send results.
     engine_rates: EngineRates,
     /// The minimum rate at which engines must send pages: a share of the median engine's rate, but never more
     /// than the configured rate.
@@ -147,7 +152,8 @@
         })
     }
 
-    /// Urgent events, which are the engine list and ends of probes, are handled before all others.
+    /// Runs the actor. Urgent events, which are the engine list and ends of probes, are handled before all
+    /// others.
     pub async fn run(mut self, urgent: Receiver<Event>, mailbox: Receiver<Event>) {
         let mut has_more = false;
         loop {
@@ -166,8 +172,8 @@
             let urgent_events = std::iter::from_fn(|| urgent.try_recv().ok()).take(MAX_EVENTS_PER_TURN);
             let queued_events = std::iter::from_fn(|| mailbox.try_recv().ok()).take(MAX_EVENTS_PER_TURN);
             let turn = || self.run_turn(first.into_iter().chain(urgent_events).chain(queued_events));
-            // Threat: a bug in the module. A panic costs the open jobs, not the process. Cost: what the
-            // module has learned is lost too, which matters if the panic repeats.
+            // Threat: a bug in the module. After a panic the open jobs fail, but the process continues. Cost:
+            // what the module has learned is lost too, which matters if the panic repeats.
             let turned = catch_unwind(AssertUnwindSafe(turn));
             has_more = turned.as_ref().is_ok_and(|has_more| *has_more);
             if turned.is_err() {
@@ -199,7 +205,7 @@
             Event::JobArrived {
                 client,
                 statement,
-                kind,
+                type_id,
                 group,
                 tenant,
                 order_key,
@@ -212,7 +218,7 @@
                     now,
                     client,
                     statement,
-                    kind,
+                    type_id,
                     group,
                     tenant,
                     order_key,
@@ -246,17 +252,17 @@
                 let Some(open) = self.jobs.get_mut(&job) else {
                     return self.handle_orphan_end(now, job, number, in_doubt);
                 };
-                let (at, kind) = (open.in_flight.remove(&number), open.kind);
+                let (at, type_id) = (open.in_flight.remove(&number), open.type_id);
                 open.may_have_run |= !outcome.never_ran();
                 if let Some(key) = open.order_key.filter(|_| open.in_flight.is_empty()) {
                     self.keys_in_flight.remove(&key);
                 }
                 log::debug!(event = "dispatch_ended", job = open.statement.id, number, outcome:? = outcome, took_us = took.micros(); "dispatch ended");
                 if let Some((engine, _)) = at {
-                    let of = &self.instance.types[kind.0];
+                    let type_name = &self.instance.types[type_id.0];
                     self.notify_gossip(engine, |engine| GossipEvent::DispatchEnded {
                         engine,
-                        reservation_type: of.clone(),
+                        reservation_type: type_name.clone(),
                         outcome,
                     });
                 }
@@ -299,8 +305,8 @@
             Event::PeerReport { engine, reservation_type, suspicion } => {
                 self.handle_peer_report(now, &engine, reservation_type.as_deref(), suspicion)
             }
-            Event::ListReceived { roster, event_time, skip_malformed, result } => {
-                let _ = result.try_send(self.apply_list(now, &roster, event_time, skip_malformed));
+            Event::ListReceived { list, event_time, skip_malformed, result } => {
+                let _ = result.try_send(self.apply_list(now, &list, event_time, skip_malformed));
                 self.send_list_to_gossip();
             }
             Event::Stopping { last_answer_due } => {
@@ -310,8 +316,8 @@
         }
     }
 
-    /// Guard of the start of service: a front adds a router to its pool once the router answers a ping with
-    /// yes.
+    /// The guard of the step `Start`, reporting that this router serves. The load balancer in front of the
+    /// routers adds a router to its pool once the router answers a ping positively.
     fn check_ready(&self) -> std::result::Result<(), Refusal> {
         if self.last_answer_due.is_some() {
             return Err(Refusal::Stopping);
@@ -319,7 +325,9 @@
         if self.list_received { Ok(()) } else { Err(Refusal::NoList) }
     }
 
-    /// An engine's send rate relative to its peers is part of the time that a job takes there.
+    /// Records how fast an engine sent a page and updates the minimum rate. Passes to the module how much
+    /// longer transfers from this engine take than from its peers, as part of the time that a job takes
+    /// there.
     fn record_transfer(
         &mut self, engine: EngineId, bytes: usize, time_to_first_byte: Span, transfer_time: Span,
     ) {
@@ -356,15 +364,17 @@
         &mut self, now: Moment, engine: &str, reservation_type: Option<&str>, suspicion: f64,
     ) {
         let Some(engine) = self.instance.engines.get(engine) else { return };
-        let kind = reservation_type.map(|name| position(&self.instance.types, name));
-        if kind != Some(None) {
-            let kind = kind.flatten().map(TypeId);
-            self.instance.router.peer_reported(now, EngineId(engine), kind, suspicion);
+        let type_id = reservation_type.map(|name| position(&self.instance.types, name));
+        // `Some(None)` is a type that this router does not know; the report is ignored.
+        if type_id != Some(None) {
+            let type_id = type_id.flatten().map(TypeId);
+            self.instance.router.peer_reported(now, EngineId(engine), type_id, suspicion);
         }
     }
 
+    /// Accepts a job and passes it to the module, unless its id or its request number is in use.
     fn admit_job(
-        &mut self, now: Moment, client: u64, statement: Rc<Statement>, kind: TypeId, group: GroupId,
+        &mut self, now: Moment, client: u64, statement: Rc<Statement>, type_id: TypeId, group: GroupId,
         tenant: Option<String>, order_key: Option<String>, stated_work: Option<Span>, memory: f64,
         deadline: Moment, responder: Responder,
     ) {
@@ -375,14 +385,14 @@
         let deadline = self.last_answer_due.map_or(deadline, |last| deadline.min(last));
         let job = JobId(self.instance.jobs.intern(&statement.id));
         let tenant = tenant.and_then(|name| position(&self.instance.tenants, &name)).map(TenantId);
-        let order_key = order_key.and_then(|key| self.instance.intern_key(kind, &key));
+        let order_key = order_key.and_then(|key| self.instance.intern_key(type_id, &key));
         self.jobs_by_request.insert(request, job);
         let responder = Some(responder);
         let (dispatches, may_have_run, in_flight) = (0, false, HashMap::new());
         let open = OpenJob {
             client,
             statement,
-            kind,
+            type_id,
             deadline,
             order_key,
             responder,
@@ -392,8 +402,8 @@
         };
         self.jobs.insert(job, open);
         let (router, expires) = (&mut self.instance.router, deadline.since(now));
-        log::debug!(event = "job_taken", job = self.instance.jobs.name(job.0), of = self.instance.types[kind.0]; "job taken");
-        router.job_arrived(now, job, kind, tenant, group, order_key, stated_work, memory, expires);
+        log::debug!(event = "job_taken", job = self.instance.jobs.name(job.0), of = self.instance.types[type_id.0]; "job taken");
+        router.job_arrived(now, job, type_id, tenant, group, order_key, stated_work, memory, expires);
     }
 
     /// Takes the right to answer a job; `None` if it was answered before.
@@ -434,12 +444,12 @@
         });
     }
 
-    /// Applies all lines of the list, or none if one can't be read; with `skip_malformed`, applies those that
-    /// can.
+    /// Applies all lines of the list, or none if one of them is malformed; with `skip_malformed`, applies the
+    /// well-formed ones. Discovery calls the engines `members`.
     fn apply_list(
-        &mut self, now: Moment, roster: &Value, event_time: EventTime, skip_malformed: bool,
+        &mut self, now: Moment, list: &Value, event_time: EventTime, skip_malformed: bool,
     ) -> Result<()> {
-        let lines = array(roster, "members")?.iter().map(|member| self.parse_line(member));
+        let lines = array(list, "members")?.iter().map(|member| self.parse_line(member));
         let warn_skipped = |error: &String| log::warn!("skipping a line of the engine list: {error}");
         let usable = |line: &Result<_>| {
             !skip_malformed || line.as_ref().inspect_err(|error| warn_skipped(error)).is_ok()
@@ -451,7 +461,7 @@
             self.apply_line(now, engine, line, event_time);
             named.push(engine);
         }
-        if flag(roster, "complete") {
+        if flag(list, "complete") {
             self.list_received = true;
             self.instance.router.list_complete(&named);
             for (_, known) in self.engines.iter_mut().filter(|(engine, _)| !named.contains(engine)) {
@@ -547,7 +557,7 @@
                     self.instance.router.probe_ended(now, engine, Outcome::NotIssued);
                 }
             }
-            // Discovery is followed all the time.
+            // The router always follows discovery, so it confirms the subscription at once.
             Decision::Subscribe => self.instance.router.list_changed(),
             Decision::Wake { after } => {
                 let at = now + after;
@@ -562,12 +572,15 @@
                 } else {
                     EngineCondition::Silent
                 };
-                self.notify_gossip(engine, |engine| GossipEvent::EngineJudged { engine, condition });
+                self.notify_gossip(engine, |engine| GossipEvent::EngineConditionChanged {
+                    engine,
+                    condition,
+                });
             }
             Decision::Back { engine } => {
                 let name = self.instance.engines.name(engine.0);
                 log::info!(event = "engine_back", engine = name; "engine {name} is back");
-                self.notify_gossip(engine, |engine| GossipEvent::EngineJudged {
+                self.notify_gossip(engine, |engine| GossipEvent::EngineConditionChanged {
                     engine,
                     condition: EngineCondition::Well,
                 });
@@ -620,11 +633,11 @@
         known.handle.spawn(EngineCall::Run(dispatch, receiver));
     }
 
-    /// Returns what this host itself has observed of a job's dispatches.
+    /// Returns what this host has recorded itself about a job's dispatches, independently of the module.
     fn earlier_dispatches(&self, job: JobId) -> EarlierDispatches {
         let Some(open) = self.jobs.get(&job) else { return EarlierDispatches::default() };
         EarlierDispatches {
-            run_once: self.instance.is_run_once(open.kind),
+            run_once: self.instance.is_run_once(open.type_id),
             may_have_run: open.may_have_run,
             another_in_flight: !self.instance.concurrent_dispatches && !open.in_flight.is_empty(),
             key_in_flight: open
@@ -642,8 +655,8 @@
         self.earlier_dispatches(job).check_rejection()
     }
 
-    /// Handles a dispatch that must not go out, whatever the module decided: the module receives its end as
-    /// not issued.
+    /// Handles a dispatch that the module decided on but that a guard refuses: it is not sent, and the module
+    /// is notified that it ended with the outcome `NotIssued`.
     fn refuse_dispatch(&mut self, now: Moment, job: JobId, why: Refusal) {
         self.context.guards.record_violation(Step::Repeat, why, self.instance.jobs.name(job.0));
         let Some(open) = self.jobs.get_mut(&job) else { return };
@@ -652,13 +665,13 @@
         self.instance.router.dispatch_ended(now, job, number, Outcome::NotIssued, Span::ZERO, None, false);
     }
 
-    /// Notes that a query of the key may still run after its dispatch has ended.
+    /// Records that a query of the key may still run after its dispatch has ended.
     fn mark_in_doubt(&mut self, key: KeyId) {
         self.unsettled.add(key);
         self.instance.router.key_in_doubt(key);
     }
 
-    /// Notes that a query of the key that might have been running has certainly ended.
+    /// Records that a query of the key that might have been running has certainly ended.
     fn settle(&mut self, now: Moment, key: KeyId) {
         if self.unsettled.settle(key) {
             self.instance.router.key_settled(now, key);
--- a/crates/router/src/discovery/poll.rs
+++ b/crates/router/src/discovery/poll.rs
@@ -317,12 +317,7 @@
             }
             let (read, answer) = async_channel::bounded(1);
             let _ = events
-                .send(Event::ListReceived {
-                    roster: roster.clone(),
-                    event_time,
-                    skip_malformed,
-                    result: read,
-                })
+                .send(Event::ListReceived { list: roster.clone(), event_time, skip_malformed, result: read })
                 .await;
             answer.recv().await.map_err(|_| "the dispatcher has ended".to_owned())??;
         }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -19,12 +19,12 @@
 
 /// A message to the actor of the decision module.
 pub enum Event {
-    /// A request for a job that passed all checks. `stated_work` is the work that the client states, if any;
-    /// `memory` is in megabytes.
+    /// A request for a job that passed all checks. `client` is the number of the client's connection, as in
+    /// the other events; `stated_work` is the work that the client states, if any; `memory` is in megabytes.
     JobArrived {
         client: u64,
         statement: Rc<Statement>,
-        kind: TypeId,
+        type_id: TypeId,
         group: GroupId,
         tenant: Option<String>,
         order_key: Option<String>,
@@ -41,7 +41,7 @@
     JobAbandoned { job: JobId },
     /// A client asks whether this router serves.
     Ping { responder: Responder },
-    /// A dispatch ended, so long after it was decided. `actual_cost` is the work and the memory of the query,
+    /// A dispatch ended, `took` after it was decided. `actual_cost` is the work and the memory of the query,
     /// if its engine reported them.
     DispatchEnded {
         job: JobId,
@@ -50,26 +50,26 @@
         took: Span,
         actual_cost: Option<(Span, f64)>,
         result: Option<QueryResult>,
-        /// Whether the query may still run, as its engine did not answer the call that gave it up.
+        /// Whether the query may still run, because its engine did not answer the DELETE that gave it up.
         in_doubt: bool,
     },
     /// A dispatch of this key that was in doubt has certainly ended.
     KeySettled { order_key: KeyId },
     /// An engine reported the progress of a query.
     Progressed { job: JobId, number: usize, progress: Progress },
-    /// An engine sent a load report, which is passed on as it came.
+    /// An engine sent a load report; `stats` is its unchanged text.
     LoadReported { engine: EngineId, stats: String },
     /// A probe of an engine ended.
     ProbeEnded { engine: EngineId, outcome: Outcome },
-    /// Changes of the engine list; the answer says whether they could be read. With `skip_malformed`, lines
-    /// that can't be read are left out.
-    ListReceived { roster: Value, event_time: EventTime, skip_malformed: bool, result: Sender<Result<()>> },
-    /// An engine sent this many bytes of an answer: the time until the first byte, and from there until the
-    /// last one.
+    /// Changes of the engine list, or the whole list, in discovery's format. `result` receives the outcome of
+    /// reading them. With `skip_malformed`, malformed lines are skipped.
+    ListReceived { list: Value, event_time: EventTime, skip_malformed: bool, result: Sender<Result<()>> },
+    /// An engine sent `bytes` bytes of an answer. `time_to_first_byte` ends with the first of them, and
+    /// `transfer_time` is the time from there until the last one.
     PageReceived { engine: EngineId, bytes: usize, time_to_first_byte: Span, transfer_time: Span },
-    /// What other routers report of an engine, by name.
+    /// Other routers suspect an engine, which is given by its name, at this level.
     PeerReport { engine: String, reservation_type: Option<String>, suspicion: f64 },
-    /// The router stops; all answers are due at that time.
+    /// The router stops; all answers are due by `last_answer_due`.
     Stopping { last_answer_due: Moment },
 }
 
@@ -78,7 +78,7 @@
     pub holder: Holder,
     pub id: String,
     pub class: String,
-    /// The client's order key and its idempotency key, where it gave them; they are passed on unchanged.
+    /// The client's order key and its idempotency key, if it gave them; they are passed on unchanged.
     pub order_key: Option<String>,
     pub idempotency_key: Option<String>,
     pub text: String,
@@ -96,7 +96,7 @@
 }
 
 impl WaitingClient {
-    /// `connected` checks the client's connection itself.
+    /// `connected` returns whether the client's connection is still open.
     pub fn new(connected: impl Fn() -> bool + 'static) -> Self {
         Self { is_withdrawn: Cell::new(false), connected: Box::new(connected) }
     }
@@ -122,7 +122,7 @@
     pub deadline: Moment,
     /// The time by which the dispatch must begin, if an earlier dispatch of the job may have run.
     pub repeat_deadline: Option<Moment>,
-    /// The order key, where its type keeps order.
+    /// The order key, if jobs of the type keep order.
     pub order_key: Option<KeyId>,
     pub priority: u8,
 }
@@ -142,19 +142,23 @@
 /// The answer to a request.
 pub enum Answer {
     Served(QueryResult),
+    /// The job is rejected, with the retry-after time, if there is one.
     Overloaded(Option<Span>),
+    /// The job failed, with the name of the error.
     Failed(&'static str),
+    /// The answer to a ping: whether this router serves.
     Pong(bool),
 }
 
-/// The right to answer one request, once. If it is dropped unused, no answer is owed any more.
+/// The right to answer one request, once. If it is dropped unused, no answer is due any more.
 pub struct Responder {
     request_number: u32,
     deliver: Box<dyn FnOnce(Answer)>,
 }
 
 impl Responder {
-    /// `deliver` owns what is released once the answer is written or no longer owed.
+    /// `deliver` sends the answer. It owns the resources that are released once the answer is written or no
+    /// longer due.
     pub fn new(request_number: u32, deliver: impl FnOnce(Answer) + 'static) -> Self {
         Self { request_number, deliver: Box::new(deliver) }
     }
@@ -172,7 +176,7 @@
 /// An event that the router passes on to the gossip actor.
 pub enum GossipEvent {
     /// The module set an engine aside, or uses it again.
-    EngineJudged { engine: String, condition: EngineCondition },
+    EngineConditionChanged { engine: String, condition: EngineCondition },
     /// A dispatch of a job of this reservation type ended.
     DispatchEnded { engine: String, reservation_type: String, outcome: Outcome },
     /// An engine answered a probe.
@@ -216,7 +220,7 @@
     }
 }
 
-/// Parses a figure that a peer sent; `None` if it is no plausible number.
+/// Parses a number that a peer sent; `None` if it is malformed or implausible.
 pub fn parse_measurement(text: &str) -> Option<f64> {
     text.trim().parse().ok().filter(|figure| (0.0..1e12).contains(figure))
 }
--- a/crates/router/src/faults.rs
+++ b/crates/router/src/faults.rs
@@ -19,8 +19,8 @@
     NoAnswerInTime,
     /// Local timeout: the answer came too slowly, with the measured figures.
     TooSlow(String),
-    /// A system call failed on this machine, for example for lack of a resource; this says nothing about the
-    /// peer.
+    /// A system call failed on this machine, for example for lack of a resource; this does not indicate a
+    /// fault of the peer.
     Local(io::Error),
     /// Nothing listens at the address.
     Refused,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Classifies the error of a write. A write that signals interrupted before its first byte says nothing
-    /// about the peer.
+    /// Classifies the error of a write. A write that signals interrupted before its first byte does not
+    /// indicate a fault of the peer.
     pub fn of_write(error: io::Error) -> Self {
         if is_interrupted(&error) { Self::Local(error) } else { Self::Broken(error) }
     }
--- a/crates/router/src/file_reads.rs
+++ b/crates/router/src/file_reads.rs
@@ -1,6 +1,6 @@
-//! Reads files on threads beside the one that handles requests. Threat: a file that does not arrive, such as
-//! a FIFO without a writer or a file in an unresponsive network folder, when a signal has it read. Reads that
-//! are started later run beside it, up to a limit; the latest successful one counts.
+//! Reads files on threads beside the one that handles requests. Threat: a signal requests the read of a file
+//! that does not arrive, such as a FIFO without a writer or a file in an unresponsive network folder. Reads
+//! that are started later run beside the blocked one, up to a limit; the latest successful one counts.
 
 use std::sync::Arc;
 use std::thread;
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -1,6 +1,6 @@
-//! Whether the engine list is fresh. Threat: a process that was stopped or starved of CPU past a notice to
-//! drain and its grace continues with the old list, and requests that waited in its sockets would go to
-//! engines that were drained meanwhile.
+//! Whether the engine list is fresh. Threat: a process is stopped or starved of CPU until after an engine was
+//! reported to drain and its grace period ended. The process would continue with the old list, and requests
+//! that waited in its sockets would go to engines that were drained meanwhile.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,10 +12,11 @@
 use crate::arrivals::LoopTicks;
 use crate::clock::Clock;
 
-/// A thread that stalled for longer than this fraction of the grace may have missed a notice.
+/// A thread that stalled for longer than this fraction of the grace period may have missed a change of the
+/// list.
 const STALL_FRACTION: f64 = 0.25;
-/// Fraction of the grace for which a fresh list is awaited at most: if discovery is unreachable, the old list
-/// stays in use.
+/// Maximum wait for a fresh list, as a fraction of the grace period. If discovery is unreachable, the old
+/// list stays in use after that.
 const MAX_WAIT_FRACTION: f64 = 0.25;
 
 /// The age of the list, as discovery and queries share it. Clones share the state.
@@ -27,8 +28,8 @@
     loop_ticks: LoopTicks,
     stall_threshold: Span,
     max_wait: Span,
-    /// When the last stall was detected; `None` once a list that was requested after it has come, or the wait
-    /// for one has ended.
+    /// When the last stall was detected; `None` once a list that was requested after it has arrived, or the
+    /// maximum wait is over.
     stalled_at: Cell<Option<Moment>>,
     became_fresh: Event,
 }
@@ -40,7 +41,8 @@
         Self(Rc::new(Inner { clock, loop_ticks, stall_threshold, max_wait, stalled_at, became_fresh }))
     }
 
-    /// Whether the thread stalled and no list that was requested after the stall has come.
+    /// Whether the thread stalled and no list that was requested after the stall has arrived. False again
+    /// once the maximum wait is over.
     pub fn is_stale(&self) -> bool {
         let Inner { clock, loop_ticks, stall_threshold, max_wait, stalled_at, .. } = &*self.0;
         let now = clock.now();
@@ -53,7 +55,7 @@
         stalled_at.get().is_some()
     }
 
-    /// Notes that the answer to a discovery call that began at the given moment has been applied.
+    /// Records that the answer to a discovery call that began at the given moment has been applied.
     pub fn list_received(&self, began: Moment) {
         if self.0.stalled_at.get().is_some_and(|stalled_at| began >= stalled_at) {
             self.0.stalled_at.set(None);
@@ -62,7 +64,7 @@
     }
 
     /// Waits until the list is fresh or the maximum wait is over. Cost: after a stall while discovery is
-    /// unreachable, queries wait once for that fraction of the grace.
+    /// unreachable, queries wait once for `MAX_WAIT_FRACTION` of the grace period.
     pub async fn wait_until_fresh(&self) {
         while self.is_stale() {
             let became_fresh = self.0.became_fresh.listen();
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -532,7 +532,7 @@
         let arrival = Event::JobArrived {
             client: self.client,
             statement,
-            kind: request.reservation_type,
+            type_id: request.reservation_type,
             group: request.group,
             tenant: request.tenant.map(str::to_owned),
             order_key: request.order_key.map(str::to_owned),
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -18,8 +18,8 @@
 use crate::keyfiles::Keys;
 use crate::tasks::Tasks;
 
-/// Maximum number of datagrams that are taken in before other tasks run: each may cost a few signature
-/// checks, about 0.2 ms in total.
+/// Maximum number of datagrams that are handled before other tasks run: each may need a few signature checks,
+/// which take about 0.2 ms in total.
 const MAX_DATAGRAMS_PER_TURN: usize = 4;
 
 /// Pause after a failed read of the socket.
@@ -142,7 +142,8 @@
                 }
                 future::yield_now().await;
             }
-            // The error may last and must not keep the thread busy; members notice by their pings.
+            // The error may last and must not keep the thread busy. Other members detect a router that does
+            // not receive by its unanswered pings.
             Input::Datagram(Err(_)) => sleep(READ_ERROR_PAUSE).await,
             Input::Event(event) => handle_event(&mut core, now, event),
             Input::List(list) => core.set_engines(&list),
@@ -154,7 +155,9 @@
 
 fn handle_event(core: &mut Gossip, now: Moment, event: GossipEvent) {
     match event {
-        GossipEvent::EngineJudged { engine, condition } => core.engine_judged(now, &engine, condition),
+        GossipEvent::EngineConditionChanged { engine, condition } => {
+            core.engine_judged(now, &engine, condition)
+        }
         GossipEvent::DispatchEnded { engine, reservation_type, outcome } => {
             core.dispatch_ended(now, &engine, &reservation_type, outcome)
         }
--- a/crates/router/src/guards.rs
+++ b/crates/router/src/guards.rs
@@ -29,9 +29,9 @@
 pub enum Refusal {
     /// The engine is draining, is gone, or has been replaced by another process.
     EngineNotOpen,
-    /// The client's time is over.
+    /// The time that the client allows is over.
     TimeOver,
-    /// The time in which an earlier dispatch that may have run can be repeated is over.
+    /// The time in which the job may be dispatched again, although an earlier dispatch may have run, is over.
     RepeatTooLate,
     /// The dispatch was cancelled.
     CalledOff,
@@ -43,7 +43,7 @@
     AnotherOut,
     /// A job of the same order key is in flight.
     KeyOut,
-    /// The client is still owed an answer.
+    /// An answer to the client is still due.
     AnswerOwed,
     /// The engine list is not known yet.
     NoList,
@@ -57,7 +57,7 @@
     pub is_engine_open: bool,
     pub deadline: Moment,
     pub repeat_deadline: Option<Moment>,
-    pub is_called_off: bool,
+    pub is_cancelled: bool,
 }
 
 impl SendConditions {
@@ -69,17 +69,17 @@
         if self.now >= self.deadline {
             return Err(Refusal::TimeOver);
         }
-        if self.repeat_deadline.is_some_and(|before| self.now >= before) {
+        if self.repeat_deadline.is_some_and(|deadline| self.now >= deadline) {
             return Err(Refusal::RepeatTooLate);
         }
-        if self.is_called_off {
+        if self.is_cancelled {
             return Err(Refusal::CalledOff);
         }
         Ok(())
     }
 }
 
-/// What is known of a job's earlier dispatches.
+/// What the host has recorded about a job's earlier dispatches.
 #[derive(Clone, Copy, Default)]
 pub struct EarlierDispatches {
     /// Whether jobs of its type must not run twice.
@@ -93,7 +93,7 @@
 }
 
 impl EarlierDispatches {
-    /// Whether a further dispatch may go out.
+    /// Checks whether a further dispatch may be sent.
     pub fn check(&self) -> Result<(), Refusal> {
         if self.run_once && self.may_have_run {
             return Err(Refusal::MayHaveRun);
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Whether the job may be rejected with the guarantee that it had no effect.
+    /// Checks whether the job may be rejected with the guarantee that it had no effect.
     pub fn check_rejection(&self) -> Result<(), Refusal> {
         if self.run_once && (self.may_have_run || self.another_in_flight) {
             Err(Refusal::MayHaveRun)
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -208,7 +208,7 @@
 }
 
 /// Returns `None` until the head is complete. An answer with neither a length nor chunks, whose body would
-/// end with the connection, is an error: nobody could tell whether the body is complete.
+/// end with the connection, is an error, because it would be unknown whether the body is complete.
 fn parse(buffer: &[u8], on_field: &mut impl FnMut(&str, &str)) -> Result<Option<Head>> {
     let mut fields = [EMPTY_HEADER; MAX_HEAD_FIELDS];
     let mut response = Response::new(&mut fields);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -7,6 +7,9 @@
 //! scarce resources, `signals` receives the operators' signals and `stop` acts on them. Calls that may block
 //! run on threads of their own: `log_queue` writes log lines, `file_reads` reads files. The messages between
 //! these parts are defined in `exchange`, below them all.
+//!
+//! A comment that begins with `Threat:` names the fault that the code below it guards against; `Cost:` names
+//! the case in which this defence costs something.
 
 pub mod agreement;
 mod arrivals;
@@ -68,8 +71,8 @@
 use crate::stop::OperatorCommand;
 use crate::tasks::Tasks;
 
-/// Serves until a planned stop is done, which `commands` requests at some time. With `gossip_setup` it takes
-/// part in gossip with other routers.
+/// Serves until a stop that `commands` requests is complete. With `gossip_setup` the router takes part in
+/// gossip with other routers.
 pub async fn serve(
     tasks: Tasks, config: config::RouterConfig, listener: TcpListener,
     commands: impl Stream<Item = OperatorCommand> + 'static, gossip_setup: Option<GossipSetup>,
@@ -82,17 +85,17 @@
     let idle_close = span(limits, "idleCloseUs")?;
     let grace = span(required(&settings, "obligations")?, "stopSendingWithinUs")?;
     let wants_load_reports = text(required(&settings, "feedback")?, "how")? != "none";
-    let family = required(&settings, "familyInfo")?;
+    let engine_settings = required(&settings, "familyInfo")?;
     let classes = array(&settings, "classes")?;
     let types = classes.iter().map(|class| Ok((text(class, "name")?.to_owned(), span(class, "deadlineUs")?)));
-    let max_of = |field| numbers(family, field).map(|each| each.into_iter().fold(1.0, f64::max));
+    let max_of = |field| numbers(engine_settings, field).map(|each| each.into_iter().fold(1.0, f64::max));
     let request_limits = RequestLimits {
         types: types.collect::<Result<_>>()?,
         max_cores: max_of("coresByKind")?,
         max_memory_mb: max_of("ramOfKindMb")?,
     };
     let max_job_timeout = request_limits.types.iter().map(|(_, timeout)| *timeout).max().unwrap_or_default();
-    let come_back = woadhook_host::max_retry_after(limits)?;
+    let max_retry_after = woadhook_host::max_retry_after(limits)?;
 
     let pace = operator_file.section("pace").ok_or("no section pace")?;
     let min_rate = |rate: &str, grace: &str| MinRate {
@@ -166,7 +169,7 @@
         request_limits: Rc::new(request_limits),
         job_memory: budget(0.25),
         message_memory: budget(0.1),
-        come_back,
+        come_back: max_retry_after,
         answers_owed: answers_owed.clone(),
         min_send_rate: min_rate("client_sends_bytes_per_s", "client_grace_ms"),
         min_receive_rate: min_rate("client_takes_bytes_per_s", "client_grace_ms"),
--- a/crates/router/src/memory.rs
+++ b/crates/router/src/memory.rs
@@ -1,6 +1,6 @@
 //! Budgets for the bytes that the router holds for clients: statements, results, and messages that are being
-//! received. A client that wants more than is free, or more than its share, waits or is rejected. So slow
-//! readers are held back, they don't make memory use grow, and few clients can't use up what all share.
+//! received. A client that requests more bytes than are free, or more than its share, waits or is rejected.
+//! So slow readers wait instead of making memory use grow, and a few clients can't use up the whole budget.
 
 use std::cell::RefCell;
 use std::net::IpAddr;
@@ -11,9 +11,10 @@
 
 /// Fraction of a budget that is set aside for floors, the bytes guaranteed to each possible connection.
 const GUARANTEED_FRACTION: f64 = 0.5;
-/// What a connection may hold above its floor, and an address in total, as multiples of the bytes that are
-/// still free: many connections may come from one address.
+/// Maximum bytes that a connection may hold above its floor, as a multiple of the bytes that are still free.
 const CONNECTION_MULTIPLE_OF_FREE: f64 = 1.0;
+/// Maximum bytes that all connections of one address may hold, as a multiple of the bytes that are still
+/// free. It is larger because many connections may come from one address.
 const ADDRESS_MULTIPLE_OF_FREE: f64 = 8.0;
 
 /// The client connection that bytes are held for.
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -17,11 +17,11 @@
 use crate::http::Connection;
 use crate::sockets::{Socket, with_timeout};
 
-/// How long a connection stays idle after an answer before another call is made on it. Threat: an answer that
-/// arrives twice, the second time some milliseconds late, would be taken for the answer to the next call,
-/// which may belong to another job. A second copy that arrives within this time is seen before the next use.
-/// Cost: a new connection where calls to one engine follow each other faster.
-pub const MIN_REST: Span = Span::from_micros(100_000);
+/// Minimum time for which a connection stays idle after an answer before another call is made on it. Threat:
+/// an answer that arrives twice, the second time some milliseconds late, would be taken for the answer to the
+/// next call, which may belong to another job. A second copy that arrives within this time is seen before the
+/// next use. Cost: a new connection where calls to one engine follow each other faster.
+pub const MIN_IDLE_TIME: Span = Span::from_micros(100_000);
 
 /// Connections that share one part of the descriptor limit.
 pub struct ConnectionPool {
@@ -55,16 +55,16 @@
         })
     }
 
-    /// Returns an idle connection to this engine that has rested long enough and that its peer has not
-    /// closed, or else a new one. If all descriptors are in use, closes the longest idle connection to any
-    /// engine, or waits for a descriptor.
+    /// Returns an idle connection to this engine that has been idle for `MIN_IDLE_TIME` and that its peer has
+    /// not closed, or else a new one. If all descriptors are in use, closes the longest idle connection to
+    /// any engine, or waits for a descriptor.
     pub async fn acquire(
         self: &Rc<Self>, engine: u64, address: SocketAddr, connect_timeout: Span,
     ) -> Result<PooledConnection, CallError> {
         let in_use =
             |connection| PooledConnection { pool: self.clone(), engine, connection: Some(connection) };
         self.close_expired();
-        while let Some(connection) = self.take_rested(engine) {
+        while let Some(connection) = self.take_reusable(engine) {
             if connection.is_ready() {
                 return Ok(in_use(connection));
             }
@@ -104,10 +104,10 @@
         }
     }
 
-    fn take_rested(&self, engine: u64) -> Option<Connection> {
+    fn take_reusable(&self, engine: u64) -> Option<Connection> {
         let (now, mut idle) = (self.clock.now(), self.idle.borrow_mut());
-        let rested = |each: &Connection| now.since(each.idle_since) >= MIN_REST;
-        let index = idle.iter().rposition(|(of, each)| *of == engine && rested(each))?;
+        let is_reusable = |each: &Connection| now.since(each.idle_since) >= MIN_IDLE_TIME;
+        let index = idle.iter().rposition(|(of, each)| *of == engine && is_reusable(each))?;
         idle.remove(index).map(|(_, connection)| connection)
     }
 
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,5 +1,5 @@
-//! Handles the process's signals from the start on, also while the files that the program starts from are
-//! still being read.
+//! Handles the process's signals from its start, including while the files that it starts from are still
+//! being read.
 
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -19,8 +19,8 @@
 use crate::keyfiles::Keys;
 use crate::stop::OperatorCommand;
 
-/// A reload that has not completed after this time is logged.
-const LATE_AFTER: Span = Span::from_micros(2_000_000);
+/// A reload that has not completed after this time is logged as late.
+const RELOAD_LATE_AFTER: Span = Span::from_micros(2_000_000);
 
 /// What one signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     Stop,
 }
 
-/// Maximum number of wake-up bytes that are read at once; the flags tell which signals came.
+/// Maximum number of wake-up bytes that are read at once; the flags state which signals arrived.
 const WAKE_BUFFER_BYTES: usize = 64;
 /// Interval between checks of the flags if the wake-up socket can't be read.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -146,7 +146,7 @@
             if !may_be_late {
                 return future::pending().await;
             }
-            sleep(LATE_AFTER).await;
+            sleep(RELOAD_LATE_AFTER).await;
             Input::Late
         };
         request.or(config).or(keys).or(late).await
@@ -163,7 +163,7 @@
         self.may_be_late = false;
         let keys_under_way = self.keys.as_ref().is_some_and(FileReads::is_under_way);
         if self.config.is_under_way() || keys_under_way {
-            let seconds = LATE_AFTER.secs();
+            let seconds = RELOAD_LATE_AFTER.secs();
             log::warn!(event = "reload_waits"; "a file was not read within {seconds} s: the old configuration stays meanwhile");
         }
     }
--- a/crates/router/src/starts.rs
+++ b/crates/router/src/starts.rs
@@ -1,6 +1,6 @@
 //! How long ago an engine started. Discovery sends a wall-clock time, which is converted to a span on
-//! receipt. No wall clock is trusted for it, neither this router's nor discovery's nor an engine's: the span
-//! is the shortest that all received values allow.
+//! receipt. No wall clock is trusted for this conversion, neither this router's nor discovery's nor an
+//! engine's: the span is the shortest that all received values allow.
 
 use serde_json::Value;
 use woadhook::{Moment, Span};
@@ -23,8 +23,8 @@
 
     /// The newest start time in all lists of these events.
     fn newest(items: &[Value]) -> Option<Self> {
-        let rosters = items.iter().filter_map(|item| item.get("roster"));
-        let members = rosters.filter_map(|roster| array(roster, "members").ok()).flatten();
+        let lists = items.iter().filter_map(|item| item.get("roster"));
+        let members = lists.filter_map(|list| array(list, "members").ok()).flatten();
         members.filter_map(Self::from_line).max()
     }
 }
@@ -35,12 +35,12 @@
     /// After this router last received an answer from discovery: an engine may have started just when its
     /// start is received.
     SinceLastContact,
-    /// At any time before this router's first request; the newest start among these events.
+    /// At any time before this router's first request. The value is the newest start among these events.
     BeforeFirstContact(Option<StartTime>),
 }
 
 impl EventTime {
-    /// For events that make up everything known so far.
+    /// Returns the time of events that make up everything known so far.
     pub fn before_first_contact(items: &[Value]) -> Self {
         Self::BeforeFirstContact(StartTime::newest(items))
     }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -19,9 +19,10 @@
 
 /// Requests may still arrive for this long after SIGTERM.
 const ARRIVAL_WINDOW: Span = Span::from_micros(600_000);
-/// SIGKILL comes `ARRIVAL_WINDOW` after the longest deadline, of which at most this much counts.
+/// SIGKILL comes after the longest job timeout plus `ARRIVAL_WINDOW`; a longer timeout than this counts as
+/// this long.
 const MAX_COUNTED_DEADLINE: Span = Span::from_micros(3_000_000);
-/// Part of that time that is reserved for writing the last answers.
+/// Part of the time before SIGKILL that is reserved for writing the last answers.
 const FINAL_WRITE_TIME: Span = Span::from_micros(100_000);
 /// Interval between checks whether all connections have closed.
 const POLL_INTERVAL: Span = Span::from_micros(10_000);
@@ -44,7 +45,8 @@
     let mut commands = std::pin::pin!(commands);
     while let Some(command) = commands.next().await {
         match command {
-            // Only the latest move counts, as it includes what an earlier one contained.
+            // Only the latest move to another discovery address counts, as it includes what an earlier one
+            // contained.
             OperatorCommand::Reload(Ok(config)) => {
                 guards.report();
                 let _ = moves.force_send(DiscoveryMove {
@@ -70,8 +72,9 @@
 }
 
 /// Waits from the command to stop until the process may end. Clients may keep connections idle until they are
-/// notified of the end, or continue to send requests: each connection is closed once no answer is owed on it,
-/// and none delays the end beyond its time.
+/// notified of the end, or continue to send requests: each connection is closed once no answer is due on it,
+/// and no connection delays the end of the process beyond the due time of the last answer and the time to
+/// write it.
 pub async fn shut_down(
     clock: Clock, max_job_timeout: Span, answers_owed: &Cell<usize>, connections: &Connections,
     acceptor: &Acceptor, events: Sender<Event>,
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -25,7 +25,7 @@
     started: Instant,
     /// Entries are removed when deadlines end or are dropped.
     wheel: RefCell<TimerWheel<Waker>>,
-    /// Until when the driver sleeps; `None` while it is awake.
+    /// The time until which the driver sleeps; `None` while it is awake.
     asleep_until: Cell<Option<Moment>>,
     earlier_deadline: Event,
 }
--- a/crates/router/src/unsettled_keys.rs
+++ b/crates/router/src/unsettled_keys.rs
@@ -1,6 +1,6 @@
-//! Order keys that wait for queries that may still run after their dispatches ended, and dispatches that were
-//! in flight when the module restarted. The host owns both: a module is notified of each that begins and
-//! ends, and a restarted module of all that exist.
+//! Order keys with queries that may still run after their dispatches ended, and dispatches that were in
+//! flight when the module restarted. The host owns both records: it notifies the module when a key becomes
+//! doubtful or is settled, and notifies a restarted module of all keys in doubt.
 
 use std::collections::HashMap;
 
@@ -21,7 +21,7 @@
 /// The end of a dispatch that the module does not know.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OrphanEnd {
-    /// The order key, where its type keeps order.
+    /// The order key, if jobs of the type keep order.
     pub key: Option<KeyId>,
     /// Whether it was the last dispatch in flight of its job.
     pub is_last: bool,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes in the end of a dispatch; returns `None` if the dispatch was not an orphan.
+    /// Records the end of a dispatch; returns `None` if the dispatch was not an orphan.
     pub fn remove_orphan(&mut self, job: JobId, number: usize) -> Option<OrphanEnd> {
         let key = self.orphans.remove(&(job, number))?;
         let is_last = !self.orphans.keys().any(|(other, _)| *other == job);
