--- a/crates/adapter/src/flint.rs
+++ b/crates/adapter/src/flint.rs
@@ -96,11 +96,13 @@
             );
         }
         "REPORT_BACK" => {
-            take_report(instance, now, event)?;
+            apply_load_report(instance, now, event)?;
             let job = instance.jobs.get(text(event, "txn")?);
             let (number, took) = (integer(event, "sendNo")? as usize, span(event, "lagUs")?);
             let outcome = outcome(event)?;
             let closes_job = flag(event, "noMore");
+            // `usedUp` is the true cost: the work in milliseconds times 4096, plus the memory in units of 4
+            // MB.
             let true_cost = integer(event, "usedUp")
                 .ok()
                 .filter(|_| instance.costs_in_answers)
@@ -124,7 +126,7 @@
             }
         }
         "SAMPLED" => {
-            take_report(instance, now, event)?;
+            apply_load_report(instance, now, event)?;
             let outcome = outcome(event)?;
             if let Some(engine) = instance.engines.get(text(event, "engine")?) {
                 instance.router.probe_ended(now, EngineId(engine), outcome);
@@ -180,7 +182,7 @@
     Ok(())
 }
 
-fn take_report(instance: &mut Instance, now: Moment, event: &Value) -> Result<()> {
+fn apply_load_report(instance: &mut Instance, now: Moment, event: &Value) -> Result<()> {
     let Ok(values) = numbers(event, "pressure") else { return Ok(()) };
     if let Some(engine) = instance.engines.get(text(event, "engine")?) {
         instance.load_reported(now, EngineId(engine), |index, _| values.get(index).copied());
--- a/crates/router/src/agreement.rs
+++ b/crates/router/src/agreement.rs
@@ -44,14 +44,15 @@
     follower: Follower,
     config: AccordConfig,
     attestations_sent: u32,
-    /// The number of the last state that this router attested as a voter, and of the one that it acts on.
+    /// The number of the last state that this router attested as a voter.
     attested: Option<StateNumber>,
+    /// The number of the state that this router acts on.
     active: Option<StateNumber>,
 }
 
 impl Agreement {
-    /// Each start uses a new incarnation number: the start time in the high bits, `random_bits` in the
-    /// low ones.
+    /// Starts the node and the follower. Each start uses a new incarnation number: the start time in the high
+    /// bits, `random_bits` in the low ones.
     pub fn start(now: Moment, seed: u64, random_bits: u8, own: MemberId, config: AccordConfig) -> Self {
         let started = now.since(Moment::default()).micros();
         let incarnation = Incarnation(started << 8 | u64::from(random_bits));
@@ -61,7 +62,7 @@
         Self { node, follower, config, attestations_sent: 0, attested: None, active: None }
     }
 
-    /// Applies a new voter set, with or without this router in it.
+    /// Applies a new voter set, whether or not this router is one of the voters.
     pub fn apply_voter_set(&mut self, now: Moment, epoch: u64, voters: &[MemberId]) {
         let nodes: Vec<NodeId> = voters.iter().map(|voter| NodeId(voter.0)).collect();
         log::info!(event = "accord_ordered", epoch, voters = nodes.len(); "new voter set: epoch {epoch}, {} voters", nodes.len());
@@ -105,7 +106,7 @@
         [self.node.next_deadline(), lapse].into_iter().flatten().min()
     }
 
-    /// Carries out all pending actions of the core; messages go out through gossip.
+    /// Carries out all pending actions of the core; messages are sent through gossip.
     pub fn run_actions(&mut self, now: Moment, gossip: &mut Gossip) {
         while let Some(action) = self.node.next_action(now) {
             match action {
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -60,8 +60,8 @@
         Ok(Self { reload, stop, wakes: Async::new(wakes)? })
     }
 
-    /// Returns the next request; a stop goes before a reload, and reloads that have not been taken yet count
-    /// as one.
+    /// Returns the next request. A stop takes precedence over a reload, and several reload signals that have
+    /// not been handled yet count as one.
     async fn next(&mut self) -> Request {
         loop {
             if self.stop.swap(false, Ordering::SeqCst) {
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Returns what the program starts from: the first successful read, or the error of the last one under
-    /// way. A reload request starts another read beside those; a stop ends the wait with `None`.
+    /// Returns the contents of the start-up files: those of the first successful read, or the error of the
+    /// last read under way. A reload request starts another read beside those; a stop ends the wait with
+    /// `None`.
     pub async fn read_at_start<T: Send + 'static>(
         &mut self, mut reads: FileReads<T>,
     ) -> Result<Option<T>, String> {
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Returns the stream of what the signals request from now on. `keys` are read again together with the
-    /// configuration.
+    /// Returns the stream of the commands that signals request from now on. `keys` are read again together
+    /// with the configuration.
     pub fn commands(
         self, config: FileReads<RouterConfig>, keys: Option<FileReads<Box<Keys>>>,
     ) -> impl Stream<Item = OperatorCommand> + 'static {
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -27,13 +27,15 @@
 
 /// The descriptor limit, divided into parts that cannot starve each other.
 pub struct DescriptorBudget {
+    /// Descriptors for client connections.
     pub clients: Arc<Semaphore>,
     /// The maximum number of client connections.
     pub max_clients: usize,
-    /// For starting queries and fetching their progress and pages.
+    /// Descriptors for calls that start queries or fetch their progress and pages.
     pub queries: Arc<Semaphore>,
-    /// For giving queries up and changing their priorities.
+    /// Descriptors for calls that give queries up or change their priorities.
     pub control_calls: Arc<Semaphore>,
+    /// Descriptors for probes.
     pub probes: Arc<Semaphore>,
 }
 
@@ -58,7 +60,7 @@
 pub enum PendingInput {
     Nothing,
     Bytes,
-    /// The connection has ended, orderly or not.
+    /// The connection has been closed or reset.
     Close,
 }
 
@@ -114,8 +116,8 @@
 
     /// Closes the connection in order, within `span`. Threat: closing a socket with unread bytes resets the
     /// connection, and what was written but not yet read by the peer is lost. So this shuts down the sending
-    /// side, then reads and discards what still arrives, none of which has been taken as a request. Cost: it
-    /// may hold a descriptor for that time.
+    /// side, then reads and discards what still arrives, none of which has been taken as a request. Cost: the
+    /// descriptor may stay in use for that time.
     pub async fn close_gracefully(&self, span: Span) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         let drain = async {
--- a/tests/scenarios/host.rs
+++ b/tests/scenarios/host.rs
@@ -29,13 +29,14 @@
     /// Job, engine and priority of each dispatch so far.
     pub sent: Vec<(JobId, EngineId, u8)>,
     pub grants: Vec<f64>,
-    /// The time before which each dispatch must begin, if the decision states one.
-    pub before: Vec<Option<Moment>>,
+    /// The time before which each dispatch must begin, if the decision states one (`before`).
+    pub repeat_deadlines: Vec<Option<Moment>>,
     pub throttled: Vec<JobId>,
     pub cancelled_for_good: Vec<JobId>,
     pub cancelled_dispatches: Vec<(JobId, usize)>,
     pub probed: Vec<EngineId>,
-    pub subscribed: usize,
+    /// Number of requests for the engine list.
+    pub list_requests: usize,
     pub forgotten: Vec<Forgotten>,
 }
 
@@ -112,12 +113,12 @@
             jobs: 0,
             sent: vec![],
             grants: vec![],
-            before: vec![],
+            repeat_deadlines: vec![],
             throttled: vec![],
             cancelled_for_good: vec![],
             cancelled_dispatches: vec![],
             probed: vec![],
-            subscribed: 0,
+            list_requests: 0,
             forgotten: vec![],
         };
         host.list_engine(0, EngineStatus::Live, None);
@@ -165,7 +166,7 @@
         while let Some(decision) = self.router.next_decision(self.now) {
             match decision {
                 Decision::Dispatch { job, engine, priority, memory, before, .. } => {
-                    self.before.push(before);
+                    self.repeat_deadlines.push(before);
                     self.sent.push((job, engine, priority));
                     self.grants.push(memory);
                 }
@@ -173,14 +174,14 @@
                 Decision::CancelForGood { job, .. } => self.cancelled_for_good.push(job),
                 Decision::CancelDispatch { job, number } => self.cancelled_dispatches.push((job, number)),
                 Decision::Probe { engine } => self.probed.push(engine),
-                Decision::Subscribe => self.subscribed += 1,
+                Decision::Subscribe => self.list_requests += 1,
                 Decision::Forget(index) => self.forgotten.push(index),
                 Decision::Wake { .. } | Decision::SetAside { .. } | Decision::Back { .. } => {}
             }
         }
     }
 
-    /// Advances the clock in steps of 20 ms and pulls after each.
+    /// Advances the clock in steps of 20 ms and pulls all decisions after each.
     pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 20 {
             self.now = self.now + ms(20);
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Ends a dispatch that took `took` milliseconds and pulls.
+    /// Ends a dispatch that took `took` milliseconds and pulls all decisions.
     pub fn end(&mut self, job: JobId, number: usize, outcome: Outcome, took: u64) {
         let closes_job = outcome == Outcome::Done;
         self.router.dispatch_ended(self.now, job, number, outcome, ms(took), None, closes_job);
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -59,7 +59,7 @@
         host.pull();
         host.now = host.now + ms(100);
         host.end(job, 0, Outcome::TimedOut, 100);
-        assert_eq!(host.before, [None, states_limit.then(|| first + ms(500))]);
+        assert_eq!(host.repeat_deadlines, [None, states_limit.then(|| first + ms(500))]);
     }
 }
 
@@ -110,15 +110,15 @@
 fn list_on_request_is_requested_again_after_a_failure() {
     let mut host = Host::new(|start| start.monitoring.max_list_age = Some(ms(1_000)));
     host.pull();
-    assert_eq!(host.subscribed, 1);
+    assert_eq!(host.list_requests, 1);
     host.router.list_changed();
     host.router.list_unavailable();
     host.now = host.now + ms(2_000);
     host.pull();
-    assert_eq!(host.subscribed, 2, "the list is requested again after a failure");
+    assert_eq!(host.list_requests, 2, "the list is requested again after a failure");
     host.router.list_changed();
     host.advance(5_000);
-    assert_eq!(host.subscribed, 2);
+    assert_eq!(host.list_requests, 2);
 }
 
 #[test]
@@ -141,8 +141,8 @@
     assert!(sent.len() >= 5, "the engine is used: {}", sent.len());
     for from in &sent {
         let within = sent.iter().filter(|at| *at >= from && at.since(*from) < ms(2_000)).count() as f64;
-        // Overload factor 2, 8 cores (a quarter at the start, all after 15 s), a window of 2 s, jobs of
-        // 100 ms. Half of the budget is this router's.
+        // The overload factor is 2, the engine has 8 cores (a quarter at the start, all after 15 s), a window
+        // has 2 s and a job 0.1 s of work. Half of the budget is this router's.
         let able = 0.25 + 0.75 * from.since(started).secs() / 15.0;
         let max = 2.0 * 8.0 * able * 2.0 / 0.1 / 2.0;
         assert!(within <= max, "{within} jobs in a window, its part is {max}");
@@ -165,7 +165,7 @@
     assert!(host.engines_of(second).is_empty(), "its engine may still run the first job");
     host.router.key_settled(host.now, KeyId(3));
     host.advance(380);
-    assert!(host.engines_of(second).is_empty(), "the key rests");
+    assert!(host.engines_of(second).is_empty(), "the key pauses");
     host.advance(40);
     assert_eq!(host.engines_of(second).len(), 1);
     host.end(second, 0, Outcome::Done, 50);
@@ -182,7 +182,7 @@
             let mut host =
                 Host::new(|start| (start.fleet.router_count, start.fleet.router_index) = (all, number));
             host.list_engine(0, EngineStatus::Gone, None);
-            // Some time after the routers' own start and not at the boundary of a window.
+            // The engine starts some time after the routers and not at the boundary of one of their windows.
             host.now = host.now + ms(10_700);
             host.list_engine(1, EngineStatus::Live, Some(host.now));
             host
@@ -203,7 +203,8 @@
         assert!(sent.len() > 300, "the engine is used: {}", sent.len());
         for (index, from) in sent.iter().enumerate() {
             let count = sent[index..].iter().take_while(|at| at.since(*from) < ms(2_000)).count() as f64;
-            // Factor 2, 8 cores of which a quarter at the start and all after 15 s, 2 s, jobs of 0.1 s.
+            // The overload factor is 2, the engine has 8 cores (a quarter at the start, all after 15 s), a
+            // window has 2 s and a job 0.1 s of work.
             let able = 0.25 + 0.75 * (from.since(start).secs() / 15.0).min(1.0);
             let max = 2.0 * 8.0 * able * 2.0 / 0.1;
             assert!(
@@ -241,7 +242,8 @@
     for from in &sent {
         let within =
             sent.iter().filter(|at| *at >= from && at.saturating_sub(*from) < ms(2_000)).count() as f64;
-        // Factor 2, 8 cores of which a quarter at the start and all after 15 s, 2 s, jobs of 0.1 s.
+        // The overload factor is 2, the engine has 8 cores (a quarter at the start, all after 15 s), a window
+        // has 2 s and a job 0.1 s of work.
         let max = 2.0 * 8.0 * (0.25 + 0.75 * from.secs() / 15.0) * 2.0 / 0.1;
         assert!(within <= max + 2.0 * max.sqrt() + 2.0, "{within} in a window, {max} are allowed");
     }
@@ -276,7 +278,7 @@
     assert_eq!((host.engines_of(big).len(), host.engines_of(free).len()), (1, 1));
     host.end(big, 0, Outcome::TimedOut, 100);
     host.advance(380);
-    assert!(host.engines_of(small).is_empty(), "the key rests");
+    assert!(host.engines_of(small).is_empty(), "the key pauses");
     host.advance(60);
     assert_eq!(host.engines_of(small).len(), 1);
 }
@@ -646,8 +648,8 @@
     let (first, all) = (*sent.iter().min().unwrap(), sent.len());
     for at in &sent {
         let within = sent.iter().filter(|t| **t >= *at && t.since(*at) < ms(2_000)).count() as f64;
-        // Overload factor 2, 8 cores (a quarter at the start, all after 15 s), a window of 2 s, jobs of about
-        // 100 ms.
+        // The overload factor is 2, the engine has 8 cores (a quarter at the start, all after 15 s), a window
+        // has 2 s and a job about 0.1 s of work.
         let max = 320.0 * (0.25 + 0.75 * at.since(first).secs() / 15.0);
         assert!(within <= max, "{within} in a window {:?} after the start", at.since(first));
     }
@@ -661,7 +663,7 @@
     dispatches_to_an_engine_of_age(replicas, jobs, stable_hash, 0)
 }
 
-/// The same at an engine that started `age` milliseconds earlier.
+/// Like `dispatches_to_a_cold_engine`, for an engine that started `age` milliseconds earlier.
 fn dispatches_to_an_engine_of_age(replicas: usize, jobs: usize, stable_hash: u64, age: u64) -> Vec<usize> {
     let each = (0..replicas).map(|number| {
         let mut host = Host::new(|start| {
@@ -706,8 +708,8 @@
 fn cold_engine_budget_grows_with_age_and_two_overlapping_windows_stay_within_it() {
     let sent = |age| dispatches_to_an_engine_of_age(1, 200, 0, age)[0] as f64;
     for age in [0, 5_000, 9_000] {
-        // Overload factor 2, 8 cores (a quarter at the start, all after 15 s), a window of 2 s, jobs of
-        // 100 ms.
+        // The overload factor is 2, the engine has 8 cores (a quarter at the start, all after 15 s), a window
+        // has 2 s and a job 0.1 s of work.
         let max = 2.0 * 8.0 * (0.25 + 0.75 * age as f64 / 15_000.0) * 2.0 / 0.1;
         let sent = sent(age);
         assert!(2.0 * sent <= max && sent >= 0.6 * max / 2.0, "{sent} after {age} ms, {max} bring it down");
