--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -372,7 +372,8 @@
         }
     }
 
-    /// Accepts a job and passes it to the module, unless its id or its request number is in use.
+    /// Accepts a job (log event `job_taken`) and passes it to the module, unless its id or its request number
+    /// is in use.
     fn admit_job(
         &mut self, now: Moment, client: u64, statement: Rc<Statement>, type_id: TypeId, group: GroupId,
         tenant: Option<String>, order_key: Option<String>, stated_work: Option<Span>, memory: f64,
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -32,7 +32,7 @@
     /// The address that other routers send to.
     pub advertised_address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    pub pace: GossipConfig,
+    pub config: GossipConfig,
     /// Times and limits of the agreement among the voters that the operator's order names, if there is one.
     pub accord: woadhook_accord::AccordConfig,
 }
@@ -48,7 +48,7 @@
             keys,
             advertised_address: section.address("advertise").unwrap_or(bound),
             seeds: section.address_list("seeds"),
-            pace: gossip_config(section),
+            config: gossip_config(section),
             accord: accord_config(accord)?,
         })
     }
@@ -82,7 +82,7 @@
         keys: Keys { identity, ring, order },
         advertised_address: address,
         seeds,
-        pace,
+        config,
         accord,
     } = setup;
     let socket = Async::new(socket).map_err(|error| format!("gossip: {error}"))?;
@@ -90,7 +90,7 @@
     // The seeds differ from the module's own.
     let agreement =
         Agreement::start(clock.now(), seed.rotate_left(31), rand::random(), identity.id(), accord);
-    let mut core = Gossip::new(clock.now(), seed.rotate_left(17), identity, ring, address, seeds, pace);
+    let mut core = Gossip::new(clock.now(), seed.rotate_left(17), identity, ring, address, seeds, config);
     if let Some(order) = order {
         core.accept_voter_set(order);
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -3,10 +3,10 @@
 //! The files follow a request: `frontends` accept clients, read and check their requests, and write the one
 //! answer to each; `statement` finds the table group, `decide` runs the decision module, and `backends` carry
 //! out dispatches over `http` connections from `pool`. `discovery` follows the engine list, `gossip`
-//! exchanges reports with other routers if the operator file enables it, `sockets` and `memory` share out the
-//! scarce resources, `signals` receives the operators' signals and `stop` acts on them. Calls that may block
-//! run on threads of their own: `log_queue` writes log lines, `file_reads` reads files. The messages between
-//! these parts are defined in `exchange`, below them all.
+//! exchanges reports with other routers if the operator file enables it, `sockets` and `memory` divide the
+//! descriptors and the memory among their users, `signals` receives the operators' signals and `stop` acts on
+//! them. Calls that may block run on threads of their own: `log_queue` writes log lines, `file_reads` reads
+//! files. The messages between these parts are defined in `exchange`, below them all.
 //!
 //! A comment that begins with `Threat:` names the fault that the code below it guards against; `Cost:` names
 //! the case in which this defence costs something.
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -48,13 +48,13 @@
         ring: trust_store(),
         order: None,
     };
-    let pace = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..default_gossip_config() };
+    let config = woadhook_gossip::GossipConfig { period: Span::from_secs(0.05), ..default_gossip_config() };
     let setup = GossipSetup {
         socket,
         keys,
         advertised_address: address,
         seeds,
-        pace,
+        config,
         accord: default_accord_config(),
     };
     let config = router_config(engines, DiscoveryEvents::default().serve().address, 1024);
--- a/crates/standins/examples/silent_engine.rs
+++ b/crates/standins/examples/silent_engine.rs
@@ -42,7 +42,7 @@
         keys: Keys { identity, ring: trust_store(), order: None },
         advertised_address: address,
         seeds,
-        pace: default_gossip_config(),
+        config: default_gossip_config(),
         accord: default_accord_config(),
     }
 }
