--- a/crates/host/src/instance.rs
+++ b/crates/host/src/instance.rs
@@ -1,4 +1,5 @@
-//! A router of the decision module, built from the settings, with the names behind the indices that it uses.
+//! A router of the decision module, built from the settings, and the mapping between names (of jobs, keys,
+//! engines, types and others) and the indices that the module uses for them.
 
 use serde_json::Value;
 use woadhook::*;
@@ -6,7 +7,7 @@
 use crate::fields::*;
 use crate::interner::Interner;
 
-/// A router and the names behind the indices that it uses.
+/// A router of the decision module and the mapping between names and the indices that it uses.
 pub struct Instance {
     pub router: Router,
     pub jobs: Interner,
@@ -29,7 +30,8 @@
     pub costs_in_answers: bool,
 }
 
-/// The longest retry-after time that clients respect, if they are sent one.
+/// The longest retry-after time that clients respect; `None` if the settings state that clients are sent no
+/// retry-after time.
 pub fn max_retry_after(limits: &Value) -> Result<Option<Span>> {
     flag(limits, "retryAfter").then(|| span(limits, "maxRetryAfterUs")).transpose()
 }
@@ -68,9 +70,10 @@
                 late_value_share: number(class, "lateWorth")?,
                 effect,
                 ordered: flag(class, "keepOrder"),
-                zones: indices_of(class, "runsIn", &zones).map(|open| open.into_iter().map(ZoneId).collect()),
+                zones: indices_of(class, "runsIn", &zones)
+                    .map(|allowed| allowed.into_iter().map(ZoneId).collect()),
                 kinds: indices_of(class, "kindsOpen", &kinds)
-                    .map(|open| open.into_iter().map(KindId).collect()),
+                    .map(|allowed| allowed.into_iter().map(KindId).collect()),
                 threads: numbers(engine_settings, "widthByClass")?
                     .get(index)
                     .copied()
@@ -171,7 +174,8 @@
     }
 
     /// The index of an order key, if the type keeps order. For other types no index is assigned: the module
-    /// ignores their keys and would never return `Decision::Forget` for it.
+    /// ignores their keys, so it would never return `Decision::Forget` for such an index, which would stay
+    /// allocated.
     pub fn intern_key(&mut self, type_id: TypeId, name: &str) -> Option<KeyId> {
         self.ordered[type_id.0].then(|| KeyId(self.keys.intern(name)))
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -165,9 +165,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Send the job to the engine. The dispatches of a job are numbered from 0. `memory` is in megabytes (0:
-    /// the engine chooses); `priority` is 0 to 3. If `before` is set, the host must not send the dispatch at
-    /// or after that time, because an earlier dispatch of the job may have run and engines discard a repeat
-    /// only until then.
+    /// the engine chooses); `priority` is 0 to 3. `before` is the deadline for sending a repeat: if it is
+    /// set, the host must not send the dispatch at or after that time, because an earlier dispatch of the job
+    /// may have run and engines discard a repeat only until then.
     Dispatch {
         job: JobId,
         engine: EngineId,
@@ -178,8 +178,9 @@
     },
     /// Cancel one dispatch. The host still reports its outcome.
     CancelDispatch { job: JobId, number: usize },
-    /// Final answer: the job never ran or may run again. `come_back` is the retry-after time, if there is
-    /// one: the client may send the job again once it has passed.
+    /// Final answer: the job never ran or may run again. `come_back` is the retry-after time that the answer
+    /// to the client contains, if clients are sent one: the client may send the job again once this time has
+    /// passed.
     Throttle { job: JobId, come_back: Option<Span>, why: GiveUpReason },
     /// Final answer: the job failed, and whether it took effect is unknown.
     CancelForGood { job: JobId, why: GiveUpReason },
@@ -194,7 +195,8 @@
     /// The engine was set aside. The host logs it and notifies other routers, if it exchanges messages with
     /// them.
     SetAside { engine: EngineId, why: SetAsideReason },
-    /// An engine that was set aside is in use again.
+    /// The engine, which had been set aside, has answered enough probes and may get dispatches again. The
+    /// host logs it and notifies other routers, as for `SetAside`.
     Back { engine: EngineId },
 }
 
@@ -311,7 +313,7 @@
 pub struct AnswerPolicy {
     /// Tolerance on the time of final answers. It is also the period of the timer while there are jobs.
     pub answer_tolerance: Span,
-    /// The longest retry-after time that clients respect, if they are sent one.
+    /// The longest retry-after time that clients respect; `None` if clients are sent no retry-after time.
     pub max_retry_after: Option<Span>,
     /// Whether the billed value is per unit of work instead of per job.
     pub value_by_work: bool,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -56,19 +56,21 @@
 const LOAD_WAIT_SLA_FRACTION: f64 = 0.1;
 /// Number of dispatches of this router per probe that only requests a load report.
 const DISPATCHES_PER_PROBE: u32 = 5;
-/// A dispatch counts as lost when its remaining time exceeds this many usual run times.
+/// A dispatch counts as lost when its estimated remaining time exceeds this multiple of the time that a new
+/// dispatch is expected to take (`expected_run`) and it has itself run for longer than that time.
 const LOST_REMAINING_RUNS: f64 = 2.0;
-/// A dispatch without a recent progress notification counts as lost after this many usual run times, or after
-/// `OVERDUE_SLA_FRACTION` of the SLA time if that is longer.
+/// A dispatch without a recent progress notification counts as lost after this multiple of the time that a
+/// new dispatch is expected to take, or after `OVERDUE_SLA_FRACTION` of the SLA time if that is longer.
 const OVERDUE_RUNS: f64 = 3.0;
 const OVERDUE_SLA_FRACTION: f64 = 0.5;
-/// Thresholds of the priorities 1 to 3: billed value per work, divided by its mean.
+/// Thresholds of the priorities 1 to 3, which apply to a job's billed value per work, divided by the mean of
+/// that value over all types.
 const PRIORITY_THRESHOLDS: [f64; 3] = [0.25, 0.5, 0.75];
 /// Number of answers over which the error rate of a type at an engine is averaged.
 const ERROR_RATE_SAMPLES: f64 = 8.0;
 /// Number of progress periods for which a progress notification is used.
 const PROGRESS_VALID_PERIODS: f64 = 1.5;
-/// Period at which past entries are removed from the records of engines.
+/// Period at which expired entries are removed from the records of engines.
 const SWEEP_PERIOD: Span = Span::from_micros(100_000);
 
 /// The decisions of one router.
@@ -88,8 +90,8 @@
     limit_factor: f64,
     /// Whether a bad answer has cut the limit yet.
     limit_was_cut: bool,
-    /// Per tenant: the number of jobs that are left of this router's part of the tenant's share, and when it
-    /// was computed.
+    /// For each tenant, how many more jobs this router may count as within the tenant's share, and when that
+    /// number was computed.
     tenant_budgets: Vec<(f64, Moment)>,
     /// When jobs were accepted, for the retry budget. Entries are removed when they have left its window.
     accepted_at: VecDeque<Moment>,
@@ -103,10 +105,11 @@
     receives_list_changes: bool,
     /// A job is removed when it is closed and has no dispatch in flight.
     jobs: BTreeMap<JobId, Job>,
-    /// A key is removed when it has no job left and may be used again.
+    /// The record of a key is removed when the key has no job left, its pause is over and no query of it may
+    /// still run.
     keys: BTreeMap<KeyId, KeyQueue>,
     engines: BTreeMap<EngineId, Engine>,
-    /// When past entries were last removed from the records of engines.
+    /// When expired entries were last removed from the records of engines.
     swept_at: Moment,
     /// Whether the record of an engine that is gone may still be kept.
     any_gone: bool,
@@ -236,10 +239,11 @@
         }
         let good = outcome == Outcome::Done && took <= sla_time(t, record.work).mul_f64(GOOD_SLA_FRACTION);
         let failed = matches!(outcome, Outcome::Reset | Outcome::NotConnected);
-        let uninformative =
+        // These ends do not lower the in-flight limit.
+        let not_counted_as_bad =
             failed || dispatch.waited_for_load || matches!(outcome, Outcome::Cancelled | Outcome::NotIssued);
         let (type_id, id, miss_predicted) = (record.type_id, dispatch.engine, dispatch.miss_predicted);
-        if (good || !uninformative) && !miss_predicted {
+        if (good || !not_counted_as_bad) && !miss_predicted {
             self.adjust_limit(now, type_id, id, good);
         }
         if let Some(engine) = self.engines.get_mut(&id) {
@@ -264,13 +268,16 @@
         self.remove_if_finished(job);
     }
 
-    /// A dispatch for this key is about to end without an answer and may still run.
+    /// A dispatch for this key is about to end without an answer, and the engine may still be running its
+    /// query. No job of the key is dispatched for the first time until `key_settled` is called for that
+    /// dispatch.
     pub fn key_in_doubt(&mut self, key: KeyId) {
         self.keys.entry(key).or_default().in_doubt += 1;
     }
 
-    /// A dispatch for which `key_in_doubt` was called no longer runs. Threat: an engine that hangs keeps its
-    /// job as long as it hangs, whatever this router assumes, so the key stays in doubt until this call.
+    /// The query of a dispatch for which `key_in_doubt` was called no longer runs. Threat: an engine that
+    /// hangs keeps its job for as long as it hangs, so no waiting time chosen by this router would be safe;
+    /// the key stays in doubt until this call.
     pub fn key_settled(&mut self, now: Moment, key: KeyId) {
         if let Some(queue) = self.keys.get_mut(&key) {
             queue.in_doubt = queue.in_doubt.saturating_sub(1);
@@ -351,7 +358,8 @@
         }
     }
 
-    /// The transfer of a usual result from this engine takes longer than from other engines by `extra`.
+    /// Records that the host measured how much longer the transfer of a result of mean size takes from this
+    /// engine than from other engines (`extra`).
     pub fn transfer_delay_measured(&mut self, id: EngineId, extra: Span) {
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.extra_transfer_time = extra;
@@ -371,16 +379,19 @@
 
     /// The present level of other routers' suspicion. It decays linearly over the maximum silence, and the
     /// first answer or notification from the engine to this router ends it. Threat: a router with few jobs
-    /// notices a hung engine late. Suspicion also covers engines that fail the jobs of other routers. Other
-    /// routers may send false reports, so suspicion only causes an earlier probe and increases an estimate.
+    /// notices a hung engine late. Suspicion also makes it avoid engines that fail the jobs of other routers.
+    /// Other routers may send false reports, so suspicion only causes an earlier probe and increases an
+    /// estimate.
     fn suspicion(&self, engine: &Engine, reservation_type: Option<TypeId>, now: Moment) -> f64 {
         if engine.peer_suspicions.is_empty() {
             return 0.0;
         }
         let last_answer = engine.error_rates.get(&reservation_type).map_or(Moment::default(), |(_, at)| *at);
-        let last_own = if reservation_type.is_none() { engine.last_contact } else { last_answer };
+        // When the engine last answered this router itself: a job of this type, or in any way for all types.
+        let last_own_contact = if reservation_type.is_none() { engine.last_contact } else { last_answer };
         let left = |at: Moment| 1.0 - now.since(at).secs() / self.derived.max_silence.secs();
-        let suspicion = engine.peer_suspicions.get(&reservation_type).filter(|(_, at)| *at > last_own);
+        let suspicion =
+            engine.peer_suspicions.get(&reservation_type).filter(|(_, at)| *at > last_own_contact);
         suspicion.map_or(0.0, |(suspicion, at)| suspicion * left(*at).max(0.0))
     }
 
@@ -453,9 +464,9 @@
     }
 
     /// Adjusts the in-flight limit, which is in threads at all usable engines. If more than half of it is in
-    /// use, a good answer raises it by the job's threads until the first cut, and by a
-    /// `GOOD_ANSWERS_PER_BAD`th of them later. A bad answer lowers it by the job's threads. Answers of cold
-    /// engines are ignored, because their work is not counted.
+    /// use, a good answer raises it by the job's threads until the first cut, and by the job's threads
+    /// divided by `GOOD_ANSWERS_PER_BAD` after it. A bad answer lowers it by the job's threads. Answers of
+    /// cold engines are ignored, because threads in flight at cold engines do not count towards the limit.
     fn adjust_limit(&mut self, now: Moment, type_id: TypeId, engine_id: EngineId, good: bool) {
         if self.engines.get(&engine_id).is_some_and(|engine| self.is_cold(engine, now)) {
             return;
@@ -512,7 +523,7 @@
             .or_else(|| self.wake(now))
     }
 
-    /// Removes entries that have expired. Past entries in the records of engines have no effect where they
+    /// Removes entries that have expired. Expired entries in the records of engines have no effect where they
     /// are read, so these records are swept only once per `SWEEP_PERIOD`.
     fn remove_expired(&mut self, now: Moment) {
         if now.since(self.swept_at) >= SWEEP_PERIOD {
@@ -557,9 +568,10 @@
         now <= until
     }
 
-    /// Sets aside engines that are silent with dispatches in flight. Threat: machines that hang without a
-    /// reset. This also covers cut links and lost progress notifications. Where notifications come late, it
-    /// sets aside engines that work, so at most half of the live engines are set aside.
+    /// Sets aside engines that are silent with dispatches in flight. Threat: a machine hangs without
+    /// resetting its connections. The same check detects cut links and lost progress notifications. Where
+    /// notifications come late, it sets aside engines that work, so at most half of the live engines are set
+    /// aside.
     fn set_aside_silent(&mut self, now: Moment) {
         if self.all_healthy(now) {
             return;
@@ -578,9 +590,10 @@
         }
     }
 
-    /// If the list has to be requested, requests it long before its age reaches `max_list_age`. At that age,
-    /// a change counts as known to this router, and nothing may be sent to an engine later than the grace
-    /// period after the router knows that it is draining or gone.
+    /// If the list has to be requested, requests it once per quarter of `max_list_age`, until an answer
+    /// arrives. Once the list is `max_list_age` old, this router counts as informed of every change, whether
+    /// it has received it or not, and nothing may be sent to an engine later than the grace period after the
+    /// router was informed that it is draining or gone.
     fn request_list(&mut self, now: Moment) -> Option<Decision> {
         let request_period = self.monitoring.max_list_age?.mul_f64(0.25);
         if self.receives_list_changes
@@ -682,7 +695,7 @@
         let mean_work = self.estimates.mean_work.value.max(1e-3);
         let mean_value: f64 =
             self.types.iter().map(|t| t.billed_value).sum::<f64>() / self.types.len() as f64;
-        let relative_density = self.value_density(&self.jobs[&id], now) / (mean_value / mean_work);
+        let relative_value_density = self.value_density(&self.jobs[&id], now) / (mean_value / mean_work);
         let shorten_timeout = !self.retry_limits.can_cancel && !self.retry_limits.concurrent_dispatches;
         let repeat_deadline = self.repeat_deadline(&self.jobs[&id]);
         let (job, engine) = (self.jobs.get_mut(&id)?, self.engines.get_mut(&to)?);
@@ -692,7 +705,8 @@
         let grant = (job.memory * self.estimates.memory_bias[job.type_id.0].0).min(max_grant);
         let grant = if self.memory_grants.enabled { grant } else { 0.0 };
         let level =
-            PRIORITY_THRESHOLDS.iter().filter(|threshold| relative_density >= **threshold).count() as u8;
+            PRIORITY_THRESHOLDS.iter().filter(|threshold| relative_value_density >= **threshold).count()
+                as u8;
         let priority = if t.is_load { level.max(PRIORITY_THRESHOLDS.len() as u8 - 1) } else { level };
         let left = job.deadline.since(now);
         let timeout = if shorten_timeout && t.effect != Effect::RunOnce {
@@ -722,9 +736,9 @@
     }
 
     /// Whether a dispatch in flight should be replaced: its engine was set aside, or its remaining time at
-    /// its present rate exceeds `LOST_REMAINING_RUNS` new runs. Threat: hung engines and bad query plans.
-    /// This also covers slow engines. Where the reported fractions of work done are far from the truth, it
-    /// may replace the wrong dispatches.
+    /// its present rate exceeds `LOST_REMAINING_RUNS` new runs. Threat: an engine hangs, or a query has a bad
+    /// plan. The same check detects slow engines. Where the reported fractions of work done are far from the
+    /// truth, it may replace the wrong dispatches.
     fn is_lost(&self, job: &Job, dispatch: &Dispatch, now: Moment) -> bool {
         if dispatch.outcome.is_some() || dispatch.cancelled {
             return false;
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -33,9 +33,9 @@
         self.cores(engine.kind) * self.slow_start.capacity_fraction(engine, now)
     }
 
-    /// Work of other routers at the engine, in seconds of one thread, by the last load report; `None` without
-    /// a report. If the report has no number of running queries, the busy cores beyond this router's threads
-    /// are used instead.
+    /// Work of other routers at the engine, in seconds of one thread, according to the last load report;
+    /// `None` without a report. If the report has no number of running queries, the busy cores beyond this
+    /// router's threads are used instead.
     pub(super) fn other_routers_work(&self, engine: &Engine) -> Option<f64> {
         let report = engine.report?;
         let own = engine.in_flight.values().filter(|sent| sent.at < report.at);
@@ -79,8 +79,8 @@
             total += t.sla.secs();
         }
         // Threat: an engine that fails jobs of a type quickly looks idle and attracts all of them. For jobs
-        // that may run only once, errors of any type count. This also covers lost tables. The rate is squared
-        // because bad requests cause a few errors at all engines.
+        // that may run only once, errors of any type count. The penalty also keeps jobs away from engines
+        // that lost tables. The rate is squared because bad requests cause a few errors at all engines.
         let decay_time = self.derived.max_silence.secs();
         let decayed =
             |(rate, at): &(RunningMean, Moment)| rate.value * (-now.since(*at).secs() / decay_time).exp();
@@ -114,9 +114,9 @@
 
     /// For each usable engine, whether it takes loads of a table group. Half of the engines do, drawn
     /// identically by all routers with the same list, each with at most one load of this router in flight.
-    /// Threat: loads that queue for a group at every engine, with all other jobs of the group behind them on
-    /// idle engines. This also limits bursts of loads. It may cost throughput where most of the work is
-    /// loads.
+    /// Threat: loads of a group queue at every engine, and all other jobs of the group wait for them although
+    /// the engines are idle. The restriction also limits bursts of loads. It may cost throughput where most
+    /// of the work is loads.
     pub(super) fn load_engines(group: GroupId, usable: &[(EngineId, &Engine)]) -> Vec<bool> {
         let draw = |e: &Engine| Pcg32::new(group.0 as u64, e.stable_hash).random::<u32>();
         let mut drawn: Vec<_> = usable.iter().enumerate().map(|(index, (_, e))| (draw(e), index)).collect();
--- a/src/records.rs
+++ b/src/records.rs
@@ -6,7 +6,8 @@
 use crate::interface::*;
 use crate::time::{Moment, Span};
 
-/// Fraction of its SLA time that a usual job runs on its threads, assumed until it is learned.
+/// Fraction of its SLA time for which a job is assumed to run on its threads, until the work of its type is
+/// learned.
 const INITIAL_WORK_SLA_FRACTION: f64 = 0.5;
 /// An engine with dispatches in flight counts as silent when it has sent nothing for this many progress
 /// periods. If engines send no progress notifications, the longest SLA time is used as the period.
@@ -19,7 +20,8 @@
     pub(crate) max_silence: Span,
     /// How long a load is assumed to lock its table group.
     pub(crate) max_load_time: Span,
-    /// How long a table group stays warm on an engine after the last dispatch for it.
+    /// How long a table group is assumed to stay warm on an engine after the last dispatch for it: the
+    /// smallest job timeout of any type.
     pub(crate) warm_period: Span,
     /// The largest initial work of any type (see `initial_work`), in seconds of one thread.
     pub(crate) max_initial_work: f64,
@@ -145,13 +147,13 @@
     pub(crate) report: Option<Report>,
     /// Time of the last dispatch for each table group. Entries are removed after the warm period.
     pub(crate) group_sent_at: BTreeMap<GroupId, Moment>,
-    /// The time until which a load of another router presumably locks a table group. Past entries are
+    /// The time until which a load of another router presumably locks a table group. Expired entries are
     /// removed.
     pub(crate) locked_until: BTreeMap<GroupId, Moment>,
     /// This router's dispatches in flight. An entry is removed by its outcome.
     pub(crate) in_flight: BTreeMap<(JobId, usize), InFlight>,
-    /// Time of each recent dispatch and the usual work of its type. Entries are removed when they have left
-    /// the cold-start window.
+    /// Time of each recent dispatch and the learned mean work of its type. Entries older than the slow
+    /// start's window (`ColdStart::overload_window`) are removed.
     pub(crate) recent_work: Vec<(Moment, f64)>,
     /// When the engine last sent an answer or a notification.
     pub(crate) last_contact: Moment,
@@ -161,7 +163,7 @@
     /// Level of suspicion (0 to 1) that other routers reported and the time of the report, by type, and for
     /// all types under `None`. Entries older than the maximum silence are removed.
     pub(crate) peer_suspicions: BTreeMap<Option<TypeId>, (f64, Moment)>,
-    /// How much longer the transfer of a usual result takes from this engine than from others.
+    /// How much longer the transfer of a result of mean size takes from this engine than from others.
     pub(crate) extra_transfer_time: Span,
     /// Whether a probe is in flight.
     pub(crate) probe_in_flight: bool,
@@ -177,7 +179,7 @@
         self.in_flight.values().map(|sent| sent.threads).sum()
     }
 
-    /// Removes past entries, which no longer have any effect.
+    /// Removes expired entries, which no longer have any effect.
     pub(crate) fn remove_expired(&mut self, now: Moment, window: Span, derived: DerivedSettings) {
         self.recent_work.retain(|(at, _)| now.since(*at) <= window);
         self.group_sent_at.retain(|_, at| now.since(*at) <= derived.warm_period);
@@ -243,7 +245,8 @@
     t.sla + run_time(t, work).mul_f64(t.sla_stretch)
 }
 
-/// Usual work of a type by the settings alone, in seconds of one thread.
+/// Work that is assumed for a job of this type until its work is learned, computed from the settings, in
+/// seconds of one thread.
 pub(crate) fn initial_work(t: &ReservationType) -> f64 {
     t.sla.secs() * t.threads * INITIAL_WORK_SLA_FRACTION
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -51,10 +51,10 @@
 
     /// Whether this router may now send a cold engine with this many cores this much more work (in seconds of
     /// one thread). Each router has its turn in certain windows, which are counted from the engine's start as
-    /// this router learned of it; the order of turns is shifted by the engine's hash. As many routers share a
-    /// window as usual jobs of the largest type, by the settings, fit into its budget. The engine's age at
-    /// the start of the window is used for the whole window, so that the turns do not change within it. Two
-    /// overlapping windows stay within the budget.
+    /// this router learned of it; the order of turns is shifted by the engine's hash. The number of routers
+    /// that share a window is the number of jobs of the largest initial work (`max_initial_work`) that fit
+    /// into its budget. The engine's age at the start of the window is used for the whole window, so that the
+    /// turns do not change within it. Two overlapping windows stay within the budget.
     ///
     /// Threat: wall clocks that step or differ would make turns coincide, so none is used. Routers that learn
     /// of a start late, or estimate its age after their own start, have windows that are offset from the
