--- a/crates/router/src/arrivals.rs
+++ b/crates/router/src/arrivals.rs
@@ -1,6 +1,6 @@
 //! Lower bounds for the arrival times of received bytes. Clients count their waiting time from when they send
-//! a request. So the router subtracts from it the time that the request spent in the kernel while this thread
-//! was busy, stopped or not reading.
+//! a request, so the router subtracts from that time the time that the request spent in the kernel while this
+//! thread was busy, stopped or not reading.
 
 use std::cell::Cell;
 use std::io;
@@ -28,7 +28,7 @@
 
 struct TickTimes {
     last_three: [Cell<Moment>; 3],
-    /// The longest time between two ticks since it was last queried.
+    /// The longest time between two consecutive ticks since `has_stalled` was last called.
     longest_gap: Cell<Span>,
     /// The time up to which stalls have already been reported.
     reported_until: Cell<Moment>,
@@ -126,11 +126,12 @@
         self.earliest.get()
     }
 
-    /// Returns the moment from which a client's waiting time counts, for the request that the bytes read last
-    /// complete. Threat: a deadline is passed on that ends after the client has stopped waiting. The bound
-    /// also covers a process that was stopped, a wait in the accept queue and a client whose connection was
-    /// not read. Cost: if the bytes arrived towards the end of a period in which the thread was busy, the
-    /// request gets less time than its client allows.
+    /// Returns the moment from which a client's waiting time counts. The caller asks after a read that
+    /// completed a request. Threat: a deadline computed from a later moment would end after the client has
+    /// stopped waiting. The bound also accounts for the time in which the process was stopped, the connection
+    /// waited in the accept queue or the router did not read from it. If the bytes arrived towards the end of
+    /// a period in which the thread was busy, this defence gives the request less time than its client
+    /// allows.
     pub fn request_start(&self) -> Moment {
         let (now, earliest) = (self.clock.now(), self.earliest.get());
         if now.since(earliest) <= ARRIVAL_TOLERANCE { now } else { earliest }
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,4 +1,4 @@
-//! The only clock: Unix time as the system gives it at the start, advanced by the monotonic clock.
+//! The router's only clock: the system's Unix time at the start, advanced by the monotonic clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -161,8 +161,8 @@
 
 /// Runs a router until it has been stopped.
 fn run(OperatorArgs { file }: OperatorArgs, format: Option<Format>) -> bool {
-    // The signals are caught before anything that may take time. Threat: a signal from the operators that
-    // comes earlier would end the process.
+    // The signals are caught before anything that may take time. Threat: a signal that the operators send
+    // before the handlers are installed would end the process.
     let signals = SignalHandlers::new();
     let operator = file.clone();
     let read = FileReads::new(move || read_operator(operator.as_deref()));
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -1,5 +1,6 @@
-//! The actor of the decision module: the only owner of the module's router, its names, its timer and the open
-//! jobs. It handles all queued events, then pulls decisions until there is none left.
+//! The actor that runs the decision module. It alone owns the module's `woadhook::Router`, the names that
+//! belong to the module's indices, its timer and the open jobs. It handles all queued events, then pulls
+//! decisions until there is none left.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -28,7 +29,7 @@
 use crate::starts::{EventTime, StartTime};
 use crate::unsettled_keys::UnsettledKeys;
 
-/// Capacity of the queue of events, and of the one of urgent events.
+/// Capacity of each of the actor's two queues, one for urgent events and one for all others.
 pub const MAILBOX_CAPACITY: usize = 4096;
 /// Maximum number of events that are handled before decisions are pulled, and of decisions that are pulled
 /// before other tasks run, so that messages from clients and discovery are read soon.
@@ -52,7 +53,8 @@
     dispatches: usize,
     /// Whether a dispatch has ended without proof that it never ran.
     may_have_run: bool,
-    /// The dispatches in flight, each with its engine; removed when they end.
+    /// The dispatches in flight by number, each with its engine and the channel that sends changed priorities
+    /// to its query. Closing the channel cancels the dispatch. An entry is removed when the dispatch ends.
     in_flight: HashMap<usize, (EngineId, Sender<u8>)>,
 }
 
@@ -172,8 +174,8 @@
             let urgent_events = std::iter::from_fn(|| urgent.try_recv().ok()).take(MAX_EVENTS_PER_TURN);
             let queued_events = std::iter::from_fn(|| mailbox.try_recv().ok()).take(MAX_EVENTS_PER_TURN);
             let turn = || self.run_turn(first.into_iter().chain(urgent_events).chain(queued_events));
-            // Threat: a bug in the module. After a panic the open jobs fail, but the process continues. Cost:
-            // what the module has learned is lost too, which matters if the panic repeats.
+            // Threat: a bug in the module causes a panic. The open jobs fail then, but the process continues.
+            // What the module has learned is lost too, which costs something if the panic repeats.
             let turned = catch_unwind(AssertUnwindSafe(turn));
             has_more = turned.as_ref().is_ok_and(|has_more| *has_more);
             if turned.is_err() {
@@ -252,13 +254,13 @@
                 let Some(open) = self.jobs.get_mut(&job) else {
                     return self.handle_orphan_end(now, job, number, in_doubt);
                 };
-                let (at, type_id) = (open.in_flight.remove(&number), open.type_id);
+                let (removed, type_id) = (open.in_flight.remove(&number), open.type_id);
                 open.may_have_run |= !outcome.never_ran();
                 if let Some(key) = open.order_key.filter(|_| open.in_flight.is_empty()) {
                     self.keys_in_flight.remove(&key);
                 }
                 log::debug!(event = "dispatch_ended", job = open.statement.id, number, outcome:? = outcome, took_us = took.micros(); "dispatch ended");
-                if let Some((engine, _)) = at {
+                if let Some((engine, _)) = removed {
                     let type_name = &self.instance.types[type_id.0];
                     self.notify_gossip(engine, |engine| GossipEvent::DispatchEnded {
                         engine,
@@ -316,8 +318,8 @@
         }
     }
 
-    /// The guard of the step `Start`, reporting that this router serves. The load balancer in front of the
-    /// routers adds a router to its pool once the router answers a ping positively.
+    /// Checks whether this router may report that it serves (`Step::Start`). The load balancer in front of
+    /// the routers adds a router to its pool once the router answers a ping positively.
     fn check_ready(&self) -> std::result::Result<(), Refusal> {
         if self.last_answer_due.is_some() {
             return Err(Refusal::Stopping);
@@ -373,7 +375,7 @@
     }
 
     /// Accepts a job (log event `job_taken`) and passes it to the module, unless its id or its request number
-    /// is in use.
+    /// is in use. `stated_work` is the client's estimate of the work, which the module calls `estimate`.
     fn admit_job(
         &mut self, now: Moment, client: u64, statement: Rc<Statement>, type_id: TypeId, group: GroupId,
         tenant: Option<String>, order_key: Option<String>, stated_work: Option<Span>, memory: f64,
@@ -423,7 +425,7 @@
         }
     }
 
-    /// Cancels the dispatches of a finished job that are still in flight.
+    /// Cancels the dispatches of a finished job that are still in flight, by closing their priority channels.
     fn cancel_in_flight(&mut self, job: JobId) {
         for (_, priorities) in self.jobs.get(&job).into_iter().flat_map(|open| open.in_flight.values()) {
             priorities.close();
@@ -536,6 +538,7 @@
                 log::debug!(event = "job_throttled", job = self.instance.jobs.name(job.0), why:? = why; "job throttled: {why:?}");
                 let answer = match self.check_rejection(job) {
                     Ok(()) => Answer::Overloaded(come_back),
+                    // `Step::Repeat` includes rejections, after which a client may send the job again.
                     Err(why) => {
                         self.context.guards.record_violation(
                             Step::Repeat,
@@ -610,6 +613,7 @@
         if let Some(key) = open.order_key {
             self.keys_in_flight.insert(key, job);
         }
+        // The priority is the job's present one, so its dispatches in flight get it too.
         for (_, priorities) in open.in_flight.values() {
             let _ = priorities.try_send(priority);
         }
@@ -648,10 +652,13 @@
         }
     }
 
+    /// Checks whether the host's own records permit a further dispatch of the job.
     fn check_repeat(&self, job: JobId) -> std::result::Result<(), Refusal> {
         self.earlier_dispatches(job).check()
     }
 
+    /// Checks whether the host's own records permit rejecting the job with the guarantee that it had no
+    /// effect.
     fn check_rejection(&self, job: JobId) -> std::result::Result<(), Refusal> {
         self.earlier_dispatches(job).check_rejection()
     }
@@ -694,9 +701,9 @@
 
     /// Starts a new module with the current engine list; all open jobs have failed. The indices of jobs with
     /// a dispatch in flight stay allocated until it ends, so that late events about the old module's jobs
-    /// match none of the new module's. Threat: the new module knows of no query in flight, so the next job of
-    /// the same key would run beside it. So each key is in doubt from the start if it has a query in flight
-    /// or one that may still run.
+    /// match none of the new module's. Threat: the new module knows of no query in flight, so it would
+    /// dispatch the next job of a key while a query of that key still runs. Therefore each key is in doubt
+    /// from the start if it has a query in flight or one that may still run.
     fn restart(&mut self) {
         let now = self.clock.now();
         for job in self.jobs.keys().copied().collect::<Vec<_>>() {
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -20,7 +20,8 @@
 /// A message to the actor of the decision module.
 pub enum Event {
     /// A request for a job that passed all checks. `client` is the number of the client's connection, as in
-    /// the other events; `stated_work` is the work that the client states, if any; `memory` is in megabytes.
+    /// the other events; `stated_work` is the client's estimate of the work, if it sent one; `memory` is in
+    /// megabytes.
     JobArrived {
         client: u64,
         statement: Rc<Statement>,
@@ -53,7 +54,8 @@
         /// Whether the query may still run, because its engine did not answer the DELETE that gave it up.
         in_doubt: bool,
     },
-    /// A dispatch of this key that was in doubt has certainly ended.
+    /// A query of this key that was in doubt, because it might still have been running after its dispatch
+    /// ended, has certainly ended.
     KeySettled { order_key: KeyId },
     /// An engine reported the progress of a query.
     Progressed { job: JobId, number: usize, progress: Progress },
@@ -88,8 +90,8 @@
 }
 
 /// Whether the client still waits for its job. Threat: a client closes or cancels while its job waits behind
-/// a busy thread or a connection that is not up yet, and its message is still in a mailbox or unread in its
-/// socket. So each dispatch checks this right before its first byte.
+/// a busy thread or a connection that is not established yet, and its message is still in a mailbox or unread
+/// in its socket. Therefore each dispatch checks this right before its first byte is sent.
 pub struct WaitingClient {
     is_withdrawn: Cell<bool>,
     connected: Box<dyn Fn() -> bool>,
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Waits until the list is fresh or the maximum wait is over. Cost: after a stall while discovery is
-    /// unreachable, queries wait once for `MAX_WAIT_FRACTION` of the grace period.
+    /// Waits until the list is fresh or the maximum wait is over. After a stall while discovery is
+    /// unreachable, this costs time: queries wait once for `MAX_WAIT_FRACTION` of the grace period.
     pub async fn wait_until_fresh(&self) {
         while self.is_stale() {
             let became_fresh = self.0.became_fresh.listen();
--- a/crates/router/src/guards.rs
+++ b/crates/router/src/guards.rs
@@ -1,7 +1,7 @@
-//! Guards for the steps that can break a rule: sending a query, repeating it, closing a client's connection,
-//! and starting service. Each step checks its guard right before it is taken. A refusal has a reason and is
-//! counted. A step that was taken in spite of its guard is a violation: it is counted and logged as an error
-//! with the request's id, and never causes a panic.
+//! Guards are checks for the steps that could violate a guarantee of the router: sending a query, repeating
+//! it, closing a client's connection, and starting service. Each step checks its guard right before it is
+//! taken. A refusal has a reason and is counted. A step that was taken in spite of its guard is a violation:
+//! it is counted and logged as an error with the request's id, and never causes a panic.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/router/src/interrupted_calls.rs
+++ b/crates/router/src/interrupted_calls.rs
@@ -30,8 +30,8 @@
     outcome
 }
 
-/// Repeats the call for as long as it is interrupted. Threat: a loop without pauses would hold up everything
-/// on the thread, and an interrupted read would be taken for the end of its connection.
+/// Repeats the call for as long as it is interrupted. Threat: a loop without pauses would block all other
+/// tasks of the thread, and an interrupted read would be taken for the end of its connection.
 pub async fn retry_interrupted<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         for _ in 0..MAX_IMMEDIATE_TRIES {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,4 +1,5 @@
-//! The router: clients on one side, sql engines on the other, and the decision module between them.
+//! The router accepts queries from clients and runs them on sql engines; the decision module decides when and
+//! on which engine each of them runs.
 //!
 //! The files follow a request: `frontends` accept clients, read and check their requests, and write the one
 //! answer to each; `statement` finds the table group, `decide` runs the decision module, and `backends` carry
@@ -8,8 +9,8 @@
 //! them. Calls that may block run on threads of their own: `log_queue` writes log lines, `file_reads` reads
 //! files. The messages between these parts are defined in `exchange`, below them all.
 //!
-//! A comment that begins with `Threat:` names the fault that the code below it guards against; `Cost:` names
-//! the case in which this defence costs something.
+//! The text after `Threat:` in a comment names the fault that the code below it guards against, and, where
+//! there is one, the case in which this defence costs something.
 
 pub mod agreement;
 mod arrivals;
--- a/crates/router/src/log_queue.rs
+++ b/crates/router/src/log_queue.rs
@@ -1,7 +1,7 @@
 //! The queue between the threads that log and the one thread that writes the lines. Threat: the reader of the
 //! log stalls, so that a write to a full pipe or a suspended terminal blocks; the thread that handles
-//! requests must not wait for it. A line that does not fit is dropped and counted. Cost: in a burst of lines,
-//! those that exceed the queue are missing from the log.
+//! requests must not wait for it. A line that does not fit is dropped and counted. In a burst of lines, this
+//! costs the lines that exceed the queue: they are missing from the log.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -14,7 +14,8 @@
 use log::Level;
 use rustix::event::{PollFd, PollFlags, poll};
 
-/// Maximum number of queued bytes. As many more may be in the buffer that the writer is working on.
+/// Maximum number of queued bytes. The buffer that the writer is working on may hold the same number in
+/// addition.
 pub const MAX_QUEUED_BYTES: usize = 64 * 1024;
 /// The part of the queue that is reserved for warnings and errors, so that a burst of other lines leaves
 /// space for them.
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -30,7 +30,8 @@
     log::set_max_level(logger.filter());
     // Fails only if a logger was set before.
     let _ = log::set_boxed_logger(Box::new(LevelLogger(logger)));
-    // Threat: the panic of a task would write to standard error on the thread that handles requests.
+    // Threat: without this hook, the panic of a task would write to standard error on the thread that handles
+    // requests, which a stalled reader of the log would block.
     panic::set_hook(Box::new(|panic| {
         let place = panic.location().map(ToString::to_string).unwrap_or_default();
         let message = panic.payload_as_str().unwrap_or("no message");
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -20,14 +20,15 @@
 /// Minimum time for which a connection stays idle after an answer before another call is made on it. Threat:
 /// an answer that arrives twice, the second time some milliseconds late, would be taken for the answer to the
 /// next call, which may belong to another job. A second copy that arrives within this time is seen before the
-/// next use. Cost: a new connection where calls to one engine follow each other faster.
+/// next use. Where calls to one engine follow each other faster, this costs a new connection.
 pub const MIN_IDLE_TIME: Span = Span::from_micros(100_000);
 
 /// Connections that share one part of the descriptor limit.
 pub struct ConnectionPool {
     clock: Clock,
     descriptors: Arc<Semaphore>,
-    /// Half the time after which engines close idle connections, so that no call coincides with the close.
+    /// Maximum time for which a connection is kept idle: half the time after which engines close idle
+    /// connections, so that no call coincides with the close.
     max_idle: Span,
     /// Idle connections, the longest idle first; removed when they are too old, when they are used and when
     /// the module forgets the engine.
@@ -87,9 +88,9 @@
         Ok(in_use(Connection::new(socket, self.clock)))
     }
 
-    /// Opens another connection once `thirds` thirds of the connect timeout have passed. Threat: connections
-    /// to healthy engines that come up late or never, each of which would set an engine aside. Cost: a second
-    /// connection, and a descriptor if one is free, where an engine is slow to accept.
+    /// Opens another connection once `thirds` thirds of the connect timeout have passed. Threat: a connection
+    /// to a healthy engine is established late or never, which would set the engine aside. Where an engine is
+    /// slow to accept, this costs a second connection, and a descriptor if one is free.
     async fn connect_later(
         &self, address: SocketAddr, connect_timeout: Span, thirds: u32,
     ) -> Result<Socket, CallError> {
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -35,8 +35,8 @@
 const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The signals that the program handles. Threat: a handler whose write is short or finds the buffer full
-/// would lose its signal. So each handler sets a flag, and wakes the thread with one byte, whose loss does no
-/// harm while another byte is there.
+/// would lose its signal. Therefore each handler sets a flag and wakes the thread with one byte; the loss of
+/// that byte does no harm while another byte is in the buffer.
 pub struct SignalHandlers {
     reload: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -114,10 +114,10 @@
         }
     }
 
-    /// Closes the connection in order, within `span`. Threat: closing a socket with unread bytes resets the
-    /// connection, and what was written but not yet read by the peer is lost. So this shuts down the sending
-    /// side, then reads and discards what still arrives, none of which has been taken as a request. Cost: the
-    /// descriptor may stay in use for that time.
+    /// Closes the connection gracefully, within `span`. Threat: closing a socket with unread bytes resets the
+    /// connection, and what was written but not yet read by the peer is lost. The method therefore shuts down
+    /// the sending side, then reads and discards what still arrives, none of which has been taken as a
+    /// request. This costs a descriptor, which may stay in use for that time.
     pub async fn close_gracefully(&self, span: Span) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         let drain = async {
--- a/crates/router/src/tasks.rs
+++ b/crates/router/src/tasks.rs
@@ -1,5 +1,5 @@
-//! The tasks of the one thread. The executor confines a panic to its task: the panic costs only what that
-//! task was doing, and the values that the task owned report its end when they are dropped.
+//! The tasks of the one thread. The executor confines a panic to its task: only the work of that task is
+//! lost, and the values that the task owned report its end when they are dropped.
 
 use async_executor::LocalExecutor;
 
--- a/crates/router/src/unsettled_keys.rs
+++ b/crates/router/src/unsettled_keys.rs
@@ -1,6 +1,7 @@
 //! Order keys with queries that may still run after their dispatches ended, and dispatches that were in
-//! flight when the module restarted. The host owns both records: it notifies the module when a key becomes
-//! doubtful or is settled, and notifies a restarted module of all keys in doubt.
+//! flight when the module restarted. The host owns both records: it notifies the module when a query of a key
+//! may still run and when that query has ended (the key is settled), and notifies a restarted module of all
+//! keys in doubt.
 
 use std::collections::HashMap;
 
