--- a/crates/router/tests/key_order.rs
+++ b/crates/router/tests/key_order.rs
@@ -1,6 +1,6 @@
-//! The order of an order key after a query that was cancelled, reset or left at an engine that hangs, drains,
-//! closed its port or was replaced by another process: the next query of the key is sent once the first one
-//! is certainly over.
+//! Two loads with one order key. The first query is cancelled or its connection is reset, or its engine
+//! hangs, drains, closes its port or is replaced by another process. The next query of the key is sent only
+//! when the first one can no longer run.
 
 use std::env;
 use std::io::Write;
@@ -11,48 +11,53 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
+// `FirstCall` and `LastCall` record the times of the first and the latest call that matches.
 use woadhook_standins::calls::{FirstCall, LastCall, is_for_job, is_post, modified_config, unused_address};
 use woadhook_standins::*;
 
 const ROWS: &str = "a\tb\tc\n";
 
 #[test]
-fn a_key_waits_for_a_hanging_engine() {
-    let has_woken = Arc::new(AtomicBool::new(false));
-    let is_awake = has_woken.clone();
-    // The engine accepts a job and never answers.
+fn the_next_job_of_a_key_waits_while_the_engine_of_the_first_hangs() {
+    let hang_ended = Arc::new(AtomicBool::new(false));
+    let has_ended = hang_ended.clone();
+    // The engine accepts a job and does not answer until the test ends the hang.
     let hanging = StandinServer::start(move |call| match () {
         _ if call.line.starts_with("GET /load") => response(200, &[], ""),
-        _ if is_awake.load(Ordering::Relaxed) => result_page(call, &[ROWS]),
+        _ if has_ended.load(Ordering::Relaxed) => result_page(call, &[ROWS]),
         _ => Response::NoResponse,
     });
-    let (healthy, wake) = (StandinServer::start(|call| result_page(call, &[ROWS])), has_woken);
+    let (healthy, hang_ended) = (StandinServer::start(|call| result_page(call, &[ROWS])), hang_ended);
     // The hanging engine is the first choice, as the other one is in a more expensive zone.
     let mut client = two_loads_of_one_key([&hanging, &healthy], Duration::from_millis(50));
-    // The client learns at once that the job failed; the key stays blocked.
+    // The client is informed at once that the job failed; the key stays blocked.
     assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     while hanging.received_calls("DELETE").is_empty() {
         thread::yield_now();
     }
     (0..3).for_each(|_| _ = hanging.wait_for_call("DELETE /v2/q/0000000000000001 "));
     assert!(healthy.received_calls("POST").is_empty());
-    wake.store(true, Ordering::Relaxed);
+    hang_ended.store(true, Ordering::Relaxed);
     assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
 }
 
-/// A router with two engines, the second in a more expensive zone, that keeps the order of loads with the
-/// given rest, and a client that requests two loads of one key.
-fn two_loads_of_one_key(engines: [&StandinServer; 2], rest: Duration) -> Client {
-    two_loads_of_one_key_with(engines, rest, unused_address(), Duration::from_secs(60))
+/// Starts a router with two engines, the second in a more expensive zone, which sends the loads of a key in
+/// order with the given pause of the key. Returns a client that has requested two loads of one key.
+fn two_loads_of_one_key(engines: [&StandinServer; 2], key_pause: Duration) -> Client {
+    two_loads_of_one_key_with(engines, key_pause, unused_address(), Duration::from_secs(60))
 }
 
-/// The same with the given discovery, and a first load whose client waits for `first_wait`.
+/// Does what `two_loads_of_one_key` does, with the given discovery and with a first load whose client waits
+/// for `first_wait`.
 fn two_loads_of_one_key_with(
-    engines: [&StandinServer; 2], rest: Duration, discovery: SocketAddr, first_wait: Duration,
+    engines: [&StandinServer; 2], key_pause: Duration, discovery: SocketAddr, first_wait: Duration,
 ) -> Client {
     let config = modified_config(&[engines[0].address], discovery, |config| {
         let settings = &mut config["settings"];
-        settings["obligations"]["turnGapUs"] = json!(rest.as_micros() as u64);
+        // The setting `turnGapUs` is the pause of a key: no job of the key is sent for the first time for
+        // this long after a dispatch that may still run, or after the report that such a dispatch no longer
+        // runs.
+        settings["obligations"]["turnGapUs"] = json!(key_pause.as_micros() as u64);
         settings["classes"][1]["keepOrder"] = json!(true);
         (settings["zones"], settings["prices"]) = (json!(["a", "b"]), json!({"crossZone": 0.1}));
         let mut remote = roster_member("s-b", engines[1].address, "SERVING");
@@ -73,10 +78,10 @@
 }
 
 #[test]
-fn a_key_waits_where_its_engine_died_during_a_job() {
+fn the_next_job_of_a_key_waits_when_the_engine_crashed_during_the_first() {
     let (first_started, second_started) = (FirstCall::default(), FirstCall::default());
     let (recorder, second_recorder) = (first_started.clone(), second_started.clone());
-    let dying = StandinServer::start(move |call| {
+    let crashing = StandinServer::start(move |call| {
         recorder.record(is_post(call));
         if is_post(call) { Response::EndProcess } else { response(200, &[], "") }
     });
@@ -84,11 +89,11 @@
         second_recorder.record(is_post(call));
         result_page(call, &[ROWS])
     });
-    // The engine stays listed as well: the query may be held there for as long as its client would have
+    // The engine list still shows the engine, so the query may run there for as long as its client would have
     // waited.
     let wait = Duration::from_secs(5);
     let mut client =
-        two_loads_of_one_key_with([&dying, &healthy], Duration::from_millis(50), unused_address(), wait);
+        two_loads_of_one_key_with([&crashing, &healthy], Duration::from_millis(50), unused_address(), wait);
     assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(
@@ -98,21 +103,21 @@
     );
 }
 
-/// Threat, seen in a trace: an engine that drains accepts no new connection and continues to work. The call
-/// that cancels a query has to use the connection that is already up.
+/// Threat, seen in a trace: an engine that drains accepts no new connection and continues to work, so a
+/// DELETE over a new connection would not reach the query. It has to use the connection that is already up.
 #[test]
 fn a_query_at_an_engine_that_closed_its_port_is_cancelled_over_its_own_connection() {
     let (first_deleted, second_started) = (FirstCall::default(), FirstCall::default());
-    let (recorder, second_recorder, second_recorder_here) =
+    let (recorder, second_recorder, second_recorder_at_draining) =
         (first_deleted.clone(), second_started.clone(), second_started.clone());
-    let none_yet = || response(202, &[], "");
+    let still_running = || response(202, &[], "");
     let draining = StandinServer::start(move |call| {
         recorder.record(call.line.starts_with("DELETE"));
-        second_recorder_here.record(is_post(call) && is_for_job(call, 2));
+        second_recorder_at_draining.record(is_post(call) && is_for_job(call, 2));
         match call.line.split(' ').next() {
-            Some("POST") if is_for_job(call, 1) => Response::ClosePort(Box::new(none_yet())),
+            Some("POST") if is_for_job(call, 1) => Response::ClosePort(Box::new(still_running())),
             Some("GET") if call.line.contains("0000000000000001") => {
-                Response::Delayed(Duration::from_millis(150), Box::new(none_yet()))
+                Response::Delayed(Duration::from_millis(150), Box::new(still_running()))
             }
             _ => result_page(call, &[ROWS]),
         }
@@ -137,7 +142,7 @@
 /// first client would have waited, whether that client still waits or has left. By the protocol the engine
 /// ends a query that nobody polled for 2 s, so it no longer runs by then.
 #[test]
-fn a_key_waits_where_its_query_was_reset_and_its_engine_refuses_connections() {
+fn the_next_job_of_a_key_waits_when_the_first_was_reset_and_its_engine_refuses_connections() {
     for client_leaves in [false, true] {
         let (first_started, second_started) = (FirstCall::default(), FirstCall::default());
         let (recorder, second_recorder) = (first_started.clone(), second_started.clone());
@@ -178,7 +183,7 @@
 /// Guards against taking any answer to a DELETE as a confirmation that the query was cancelled: by the
 /// protocol only 204 is one.
 #[test]
-fn a_key_waits_where_the_answer_to_a_delete_confirms_nothing() {
+fn the_next_job_of_a_key_waits_when_the_answer_to_a_delete_confirms_nothing() {
     for status in [404, 500] {
         let (last_polled, second_started) = (LastCall::default(), FirstCall::default());
         let (recorder, second_recorder) = (last_polled.clone(), second_started.clone());
@@ -204,9 +209,10 @@
     }
 }
 
-/// The same where another server has the port of an engine that drains and continues to work.
+/// Guards against taking the answer of another server for a confirmation that the query was cancelled: the
+/// engine of the first query drains and continues to work, and the other server has its port.
 #[test]
-fn a_key_waits_where_another_server_has_the_port_of_its_engine() {
+fn the_next_job_of_a_key_waits_when_another_server_has_the_port_of_the_engine() {
     let (last_polled, second_started) = (LastCall::default(), FirstCall::default());
     let (recorder, second_recorder) = (last_polled.clone(), second_started.clone());
     // The system frees a port that it chose itself once the listener is shut down.
@@ -242,16 +248,16 @@
 enum OwnConnection {
     StaysUp,
     IsReset,
-    FallsSilent,
+    StopsAnswering,
 }
 
 /// Guards against trusting another process at the port of an engine that closed it and continues to work:
-/// that process confirms a DELETE of a query that it never had, and does not know the query when it is
-/// polled.
+/// that process confirms the DELETE of a query that it never ran (204), and answers a poll of the query with
+/// an error (500).
 #[test]
-fn a_key_waits_where_another_process_at_the_port_of_its_engine_confirms_a_delete() {
+fn the_next_job_of_a_key_waits_when_another_process_at_the_port_confirms_a_delete() {
     let mut too_early = Vec::new();
-    for own in [OwnConnection::StaysUp, OwnConnection::IsReset, OwnConnection::FallsSilent] {
+    for own in [OwnConnection::StaysUp, OwnConnection::IsReset, OwnConnection::StopsAnswering] {
         let (last_polled, first_deleted, second_started) =
             (LastCall::default(), FirstCall::default(), FirstCall::default());
         let (recorder, delete_recorder, second_recorder) =
@@ -265,7 +271,7 @@
             match call.line.split(' ').next() {
                 Some("POST") => Response::ClosePort(Box::new(still_running())),
                 Some("DELETE") => response(204, &[], ""),
-                _ if own == OwnConnection::FallsSilent => Response::NoResponse,
+                _ if own == OwnConnection::StopsAnswering => Response::NoResponse,
                 _ => Response::Delayed(Duration::from_millis(150), Box::new(still_running())),
             }
         });
@@ -287,28 +293,29 @@
                 draining.end_process();
                 client.send_abort(1);
             }
-            OwnConnection::FallsSilent => _ = other.wait_for_call("GET /v2/q/0000000000000001/0"),
+            OwnConnection::StopsAnswering => _ = other.wait_for_call("GET /v2/q/0000000000000001/0"),
         }
         while client.receive().0 != 2 {}
         let expired = last_polled.at() + UNPOLLED_EXPIRY;
-        let certainly_over = first_deleted.at_or_before(expired);
+        let first_ended_by = first_deleted.at_or_before(expired);
         too_early.extend(
-            (second_started.at() < certainly_over).then(|| (own, certainly_over - second_started.at())),
+            (second_started.at() < first_ended_by).then(|| (own, first_ended_by - second_started.at())),
         );
     }
     assert!(too_early.is_empty(), "the next query came too early: {too_early:?}");
 }
 
-/// The number of runs of the scenario below. More by hand: `PLAYS=200 cargo test -p woadhook-router --test
-/// key_order an_engine_that_is_well -- --nocapture`.
+/// The number of runs of the test below. The environment variable `PLAYS` sets another number: `PLAYS=200
+/// cargo test -p woadhook-router --test key_order a_query_cancelled_at_a_healthy_engine -- --nocapture`.
 const RUNS_IN_CI: u32 = 5;
 /// A healthy engine answers a status poll after this time.
 const POLL_DELAY: Duration = Duration::from_millis(250);
 
-/// Threat: the wait of a key whose engine's port may belong to another process would delay keys at healthy
-/// engines by the expiry of each cancelled query.
+/// Threat: if the port of an engine may belong to another process, the next job of a key waits for the expiry
+/// of the cancelled query. The same wait at a healthy engine would delay its keys by the expiry of each
+/// cancelled query.
 #[test]
-fn a_key_waits_for_no_expiry_after_a_query_is_cancelled_at_an_engine_that_is_well() {
+fn a_query_cancelled_at_a_healthy_engine_does_not_delay_its_key_by_the_expiry() {
     let runs = env::var("PLAYS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(RUNS_IN_CI);
     // In each run the client aborts at another moment of the status poll.
     let abort_times = (0..runs).map(|run| POLL_DELAY * run / runs);
@@ -318,8 +325,8 @@
     println!("abort to next dispatch, {runs} runs: median {median:?}, worst {worst:?}");
 }
 
-/// How long the next query of a key waits after the first one is aborted, which happens `after_poll` after a
-/// status poll.
+/// Returns how long the next query of a key waits after the client aborts the first one, which it does
+/// `after_poll` after a status poll.
 fn abort_to_next_dispatch(after_poll: Duration) -> Duration {
     let (last_polled, second_started) = (LastCall::default(), FirstCall::default());
     let (recorder, second_recorder) = (last_polled.clone(), second_started.clone());
@@ -342,16 +349,17 @@
     assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(
         second_started.at() < last_polled.at() + UNPOLLED_EXPIRY,
-        "the key waited for an expiry: {:?}",
+        "the next job of the key waited for the expiry: {:?}",
         second_started.at() - last_polled.at()
     );
     second_started.at() - aborted_at
 }
 
-/// The same reset, but another process takes the port some time later: by then the first query is over, as
-/// nobody polled it, and the key continues before that query's time is over.
+/// The engine of the first query closes its port, resets the query's connection and continues to work, and
+/// another process takes the port some time later. By then the first query has expired, as nobody polled it,
+/// and the next query of the key is sent before the first client's wait has ended.
 #[test]
-fn a_key_continues_after_the_expiry_once_another_process_answers_at_the_port() {
+fn the_next_job_of_a_key_is_sent_after_the_expiry_once_another_process_answers_at_the_port() {
     const TAKEN_AFTER: Duration = Duration::from_millis(3_000);
     let wait = Duration::from_secs(10);
     let (last_polled, second_started) = (LastCall::default(), FirstCall::default());
@@ -383,12 +391,12 @@
     assert!(waited >= UNPOLLED_EXPIRY && waited < wait, "{waited:?}");
 }
 
-/// Guards against a DELETE that is meant for a timed-out query, and hits the next dispatch of the same job at
-/// the same engine, as a DELETE names the job's id.
+/// Guards against a DELETE that is meant for a timed-out query and cancels the next dispatch of the same job
+/// at the same engine: a DELETE carries the job's id, which both dispatches share.
 #[test]
 fn a_job_sent_again_after_a_time_out_is_not_cancelled_with_its_first_query() {
-    /// The time-out of a dispatch. A query that is cancelled sooner after its POST is cancelled by a DELETE
-    /// that was meant for another one.
+    /// The time-out of a dispatch. A query that is cancelled much sooner after its POST is cancelled by a
+    /// DELETE that was meant for an earlier one.
     const TIME_OUT: Duration = Duration::from_secs(2);
     let posts = Arc::new(AtomicUsize::new(0));
     let cancelled_after: Arc<Mutex<Vec<Duration>>> = Arc::default();
@@ -416,8 +424,9 @@
         RouterThread::start_with_config(&modified_config(&[engine.address], unused_address(), |config| {
             let class = &mut config["settings"]["classes"][1];
             (class["keepOrder"], class["effect"]) = (json!(true), json!("repeatable"));
+            // `goalTimeUs` is the SLA time. As the router may not cancel dispatches (`cancelling`), a
+            // dispatch of a restartable job times out after the SLA time, and the job is sent again.
             class["goalTimeUs"] = json!(TIME_OUT.as_micros() as u64);
-            // Its dispatches have a time-out of their own, after which the job is sent again.
             config["settings"]["limits"]["cancelling"] = json!(false);
         }));
     let mut client = Client::connect(&router);
@@ -432,13 +441,13 @@
     );
 }
 
-/// The key continues some time after the engine list reported the engine as gone; not at once, as its process
-/// ends later.
+/// The next query of the key is sent some time after the engine list reported the engine as gone, and not at
+/// once, as the engine's process ends later than that report.
 #[test]
-fn a_key_continues_some_time_after_its_engine_is_reported_gone() {
+fn the_next_job_of_a_key_is_sent_some_time_after_the_engine_is_reported_gone() {
     let second_started = FirstCall::default();
     let recorder = second_started.clone();
-    let dying =
+    let crashing =
         StandinServer::start(
             |call| if is_post(call) { Response::EndProcess } else { response(200, &[], "") },
         );
@@ -446,23 +455,23 @@
         recorder.record(is_post(call));
         result_page(call, &[ROWS])
     });
-    let (events, rest) = (DiscoveryEvents::default(), Duration::from_millis(50));
+    let (events, key_pause) = (DiscoveryEvents::default(), Duration::from_millis(50));
     let (discovery, wait) = (events.serve(), Duration::from_secs(60));
-    let mut client = two_loads_of_one_key_with([&dying, &healthy], rest, discovery.address, wait);
+    let mut client = two_loads_of_one_key_with([&crashing, &healthy], key_pause, discovery.address, wait);
     assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
-    // Longer than a query lives that nobody polls.
+    // This is longer than an engine continues to run a query that nobody polls.
     thread::sleep(Duration::from_millis(2_500));
     let reported = Instant::now();
-    events.add(2, vec![roster_member("s-0", dying.address, "DELETED")]);
+    events.add(2, vec![roster_member("s-0", crashing.address, "DELETED")]);
     assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     let waited = second_started.at().saturating_duration_since(reported);
     assert!(waited >= Duration::from_secs(2), "{waited:?} after the report");
 }
 
-/// Where an engine refuses connections only for a moment, its queries continue to run: here the engine hangs
-/// once it accepts connections again.
+/// If an engine refuses connections only for a moment, its queries continue to run, so refused connections do
+/// not show that a query has ended. Here the engine hangs once it accepts connections again.
 #[test]
-fn a_key_waits_where_its_engine_refuses_connections_for_a_moment() {
+fn the_next_job_of_a_key_waits_when_the_engine_refuses_connections_for_a_moment() {
     let refusing =
         StandinServer::start(
             |call| if is_post(call) { Response::EndProcess } else { response(200, &[], "") },
@@ -476,20 +485,21 @@
             Err(_) => thread::yield_now(),
         }
     };
-    let has_woken: Arc<AtomicBool> = Arc::default();
-    let wake = has_woken.clone();
+    let has_ended: Arc<AtomicBool> = Arc::default();
+    let hang_ended = has_ended.clone();
     let reopened = StandinServer::on_listener(listener, move |_| {
-        if has_woken.load(Ordering::Relaxed) { response(204, &[], "") } else { Response::NoResponse }
+        if has_ended.load(Ordering::Relaxed) { response(204, &[], "") } else { Response::NoResponse }
     });
     (0..12).for_each(|_| _ = reopened.wait_for_call("DELETE /v2/q/0000000000000001 "));
     assert!(healthy.received_calls("POST").is_empty());
-    wake.store(true, Ordering::Relaxed);
+    hang_ended.store(true, Ordering::Relaxed);
     assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
 }
 
-/// A process that was started in place of the one that had the job answers that it does not know the job.
+/// Guards against trusting a process that was started in place of the one that received the first job: it
+/// answers that it does not know the job, while the earlier process may still run it.
 #[test]
-fn a_key_waits_where_its_engine_restarted_without_its_job() {
+fn the_next_job_of_a_key_waits_when_the_engine_restarted_without_the_first() {
     let (first_started, second_started) = (FirstCall::default(), FirstCall::default());
     let (recorder, second_recorder) = (first_started.clone(), second_started.clone());
     let engine = StandinServer::start(move |call| {
@@ -512,12 +522,12 @@
 }
 
 #[test]
-fn a_key_rests_after_a_job_whose_end_its_engine_does_not_report() {
-    const REST: Duration = Duration::from_secs(1);
+fn a_key_pauses_after_a_job_whose_end_the_engine_does_not_report() {
+    const KEY_PAUSE: Duration = Duration::from_secs(1);
     let (first_deleted, second_started) = (FirstCall::default(), FirstCall::default());
     let (recorder, second_recorder) = (first_deleted.clone(), second_started.clone());
-    // The engine's answer to the POST is malformed, and it does not know the query: the POST may still be on
-    // its way.
+    // The engine's answer to the POST is malformed, and to polls the engine answers with an error, as if it
+    // did not know the query: the POST may still be on its way.
     let engine = StandinServer::start(move |call| {
         recorder.record(call.line.starts_with("DELETE"));
         second_recorder.record(is_post(call) && is_for_job(call, 2));
@@ -527,11 +537,11 @@
             _ => result_page(call, &[ROWS]),
         }
     });
-    let mut client = two_loads_of_one_key([&engine, &engine], REST);
+    let mut client = two_loads_of_one_key([&engine, &engine], KEY_PAUSE);
     assert_eq!(client.receive(), (1, Err("Internal".to_owned())));
     assert_eq!(client.receive(), (2, Ok(ROWS.to_owned())));
     assert!(
-        second_started.at() - first_deleted.at() >= REST,
+        second_started.at() - first_deleted.at() >= KEY_PAUSE,
         "{:?}",
         second_started.at() - first_deleted.at()
     );
