--- a/crates/router/tests/accord.rs
+++ b/crates/router/tests/accord.rs
@@ -1,6 +1,6 @@
-//! Router processes of which three vote: what all routers follow while voters are killed, restarted without
-//! state, suspended and partitioned. The assertions are on what every router logs in the end, and on jobs
-//! being served by the rules throughout.
+//! Router processes, three of which vote on the state that all routers act on, while voters are killed,
+//! restarted without state, suspended and partitioned. The tests check the state that each router logs in the
+//! end, and that jobs are served by the rules throughout.
 
 use std::path::PathBuf;
 use std::thread;
@@ -91,9 +91,9 @@
 #[test]
 fn a_partitioned_zone_lapses_and_recovers_while_the_others_continue() {
     let (fleet, _) = fleet("cut");
-    let (one, all) = (EndpointSet::zone("z0"), EndpointSet::All);
-    let within = (one.clone(), one.clone(), Way::default());
-    fleet.relays.set_ways([(one.clone(), all.clone(), Way::CUT), (all, one, Way::CUT), within]);
+    let (zone, all) = (EndpointSet::zone("z0"), EndpointSet::All);
+    let within = (zone.clone(), zone.clone(), Way::default());
+    fleet.relays.set_ways([(zone.clone(), all.clone(), Way::CUT), (all, zone, Way::CUT), within]);
     // Routers 0 and 3 are in that zone.
     fleet.wait_until("the lapse on the side without a majority", |fleet| {
         [0, 3].iter().all(|router| state_in_force(fleet, *router).is_none())
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! Races: a close, a cancellation, a shutdown, a late connection or a late answer at the moment at which
-//! something else has just begun. Each scenario forces its race with a stand-in or a suspended process; the
-//! time spans are those of the rules. The table of pairs is `docs/design/crossings.md`.
+//! Races: a close, a cancellation, a shutdown, a late connection or a late answer comes at the moment when
+//! something else has just begun. Each test forces its race with a stand-in or a suspended process; the time
+//! spans are those of the rules. The table of pairs is `docs/design/crossings.md`.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -19,12 +19,12 @@
 
 /// No dispatch starts later than this after its client has left.
 const MAX_DISPATCH_DELAY: Duration = Duration::from_millis(100);
-/// A connection to an engine rests for this long before it serves another job.
-const REST: Duration = Duration::from_millis(100);
+/// A connection to an engine stays idle for at least this long before it serves another job.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
 const ROWS: &str = "a\tb\tc\n";
 
-/// A router with an engine in zone a and none in zone b, the only zone in which `load` runs: loads wait. The
-/// bulletin adds engines in zone b.
+/// Starts a router with an engine in zone a and none in zone b, the only zone in which `load` runs, so that
+/// loads wait. The bulletin adds engines in zone b.
 fn router_with_waiting_loads(engine: &StandinServer) -> (RouterThread, DiscoveryEvents) {
     let events = DiscoveryEvents::default();
     let config = modified_config(&[engine.address], events.serve().address, |config| {
@@ -45,7 +45,8 @@
     (100..100 + count).flat_map(|number| Client::encode_job(number, "nothing", "0", 1_000, "")).collect()
 }
 
-/// Once loads can run, the jobs of a connected client are sent, and no other job reaches the engine.
+/// Checks that once loads can run, the jobs of a client that is still connected are sent and no other job
+/// reaches the engine.
 fn assert_only_other_client_is_served(router: &RouterThread, events: &DiscoveryEvents) {
     let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
     events.add(2, vec![in_zone_b(&engine)]);
@@ -71,7 +72,7 @@
     client.0.write_all(&refused_requests(500)).unwrap();
     // A full close with unread answers would send a reset, which does not queue behind other bytes.
     client.0.shutdown(Shutdown::Write).unwrap();
-    // With two milliseconds for each refusal this would take a second.
+    // If the router first took two milliseconds for each refusal, it would notice the close a second later.
     thread::sleep(MAX_DISPATCH_DELAY * 4);
     assert_only_other_client_is_served(&router, &events);
     drop(client);
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn a_connection_rests_before_it_serves_another_job() {
+fn a_connection_stays_idle_for_the_minimum_time_before_it_serves_another_job() {
     let last: Arc<Mutex<Vec<(usize, Instant)>>> = Arc::default();
     let (earlier_calls, gaps) = (last.clone(), Arc::new(Mutex::new(Vec::new())));
     let reused = gaps.clone();
@@ -185,7 +186,7 @@
         answer
     });
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
-    // One job right after another, until connections that rested have been used again.
+    // Sends one job right after another until connections that stayed idle have been used again.
     let (mut number, deadline) = (0, Instant::now() + TEST_TIMEOUT);
     while gaps.lock().unwrap().len() < 5 {
         assert!(Instant::now() < deadline, "no connection was reused");
@@ -194,12 +195,16 @@
         assert_eq!(client.receive(), (number, Ok(ROWS.to_owned())));
     }
     let gaps = gaps.lock().unwrap();
-    assert!(gaps.iter().all(|gap| *gap >= REST), "a second copy of an answer could still arrive: {gaps:?}");
+    assert!(
+        gaps.iter().all(|gap| *gap >= MIN_IDLE_TIME),
+        "a second copy of an answer could still arrive: {gaps:?}"
+    );
 }
 
 #[test]
 fn a_late_second_answer_reaches_no_other_job() {
-    // As if the first answer arrived again at the moment at which the next call is written to its connection.
+    // The engine answers as if the first answer arrived again at the moment at which the next call is written
+    // to its connection.
     let mut first: Option<(usize, Instant)> = None;
     let engine = StandinServer::start(move |call| {
         let own = if is_for_job(call, 1) { "1\t1\t1\n" } else { "2\t2\t2\n" };
@@ -207,7 +212,7 @@
             first = is_post(call).then(|| (call.connection, Instant::now()));
             return result_page(call, &[own]);
         };
-        let copy = connection == call.connection && at.elapsed() < REST && !is_for_job(call, 1);
+        let copy = connection == call.connection && at.elapsed() < MIN_IDLE_TIME && !is_for_job(call, 1);
         result_page(call, &[if copy { "1\t1\t1\n" } else { own }])
     });
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
@@ -239,7 +244,7 @@
     (0..20).for_each(|_| _ = engine.wait_for_call("GET /v2/q/"));
     let mut first = [0; 1];
     client.0.read_exact(&mut first).unwrap();
-    // A malformed message ends the reading; the rest of the bytes is unread when the router closes the
+    // A malformed message ends the reading; the remaining bytes are unread when the router closes the
     // connection.
     client.0.write_all(&[&[0xc1][..], &[0x00; 60_000]].concat()).unwrap();
     let mut bytes = first.to_vec();
@@ -272,7 +277,8 @@
         client.send_job(1, "look", 20_000);
         assert!(client.receive().1.is_ok());
     }
-    // The router learns of the client that wants a place before it reads the request of the longest idle one.
+    // The new client needs a descriptor before the router has read the request of the client that has been
+    // idle longest.
     router.signal(Signal::STOP);
     let mut new = client(&router);
     new.send_job(1, "look", 20_000);
@@ -294,14 +300,14 @@
     let mut hanging = Client::connect(&router);
     hanging.send_job(9, "load", 60_000);
     engine.wait_for_call("POST");
-    let mut resting: Vec<_> = (0..20).map(|_| Client::connect(&router)).collect();
-    for (number, client) in resting.iter_mut().enumerate() {
+    let mut idle: Vec<_> = (0..20).map(|_| Client::connect(&router)).collect();
+    for (number, client) in idle.iter_mut().enumerate() {
         client.send_job(100 + number as u32, "load", 20_000);
         assert!(client.receive().1.is_ok());
     }
     let stopped = Instant::now();
     router.commands.send_blocking(OperatorCommand::Stop).unwrap();
-    for client in &mut resting {
+    for client in &mut idle {
         let mut rest = Vec::new();
         assert_eq!(client.0.read_to_end(&mut rest).map_err(|error| error.kind()), Ok(0));
         // A request that is written at that moment is no longer read, and nobody runs it.
@@ -325,7 +331,7 @@
     let router = RouterThread::start_with_config(&config);
     let mut busy = Client::connect(&router);
     let mut writer = busy.0.try_clone().unwrap();
-    let asking = thread::spawn(move || {
+    let sending = thread::spawn(move || {
         let ping = [&[0x94, 0x00, 0x00, 0xa4], &b"ping"[..], &[0x91, 0x80]].concat();
         while writer.write_all(&ping.repeat(20)).is_ok() {}
     });
@@ -336,7 +342,7 @@
     let reading = thread::spawn(move || while busy.0.read(&mut [0; 4096]).is_ok_and(|count| count > 0) {});
     router.expect_clean_end();
     assert!(stopped.elapsed() < Duration::from_millis(1_000 + 700), "{:?}", stopped.elapsed());
-    drop((asking, reading));
+    drop((sending, reading));
 }
 
 #[test]
@@ -451,10 +457,10 @@
     }
 }
 
-/// Guards against trusting another process at an engine's port that declines a query, which the engine may be
-/// running: a job that must not run twice is neither sent again nor rejected as safe to send again.
+/// Guards against trusting another process that has an engine's port and declines a query that the engine may
+/// be running: a job that must not run twice is neither sent again nor rejected as safe to send again.
 #[test]
-fn a_run_once_job_is_not_sent_again_where_another_process_at_the_port_of_its_engine_declines() {
+fn a_run_once_job_is_not_sent_again_when_another_process_at_the_port_of_its_engine_declines() {
     for status in [503, 504] {
         // The system frees a port that it chose itself once the listener is shut down.
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -507,8 +513,8 @@
     assert!(other.received_calls("POST").is_empty());
 }
 
-/// Threat: clients that wait for a descriptor when the router stops, one accepted and others not: their
-/// requests have arrived.
+/// Threat: when the router stops, clients may be waiting for a descriptor, one accepted and others not. Their
+/// requests have arrived, so they would go unanswered.
 #[test]
 fn clients_without_a_descriptor_at_shutdown_are_answered() {
     // There are thirteen descriptors for clients, each held by a client that awaits an answer that does not
@@ -526,13 +532,13 @@
         holder.0.write_all(&Client::encode_job(1, "look", &id, 2_000, "select 1 from sales_1.x")).unwrap();
         assert!(holder.ping(0), "the request was read");
     }
-    let mut without_place: Vec<Client> = (0..5).map(|_| client(&router)).collect();
-    for (place, waiter) in without_place.iter_mut().enumerate() {
+    let mut without_descriptor: Vec<Client> = (0..5).map(|_| client(&router)).collect();
+    for (place, waiter) in without_descriptor.iter_mut().enumerate() {
         let id = format!("{:016x}", 100 + place);
         waiter.0.write_all(&Client::encode_job(1, "look", &id, 20_000, "select 1 from sales_1.x")).unwrap();
     }
     router.signal(Signal::TERM);
-    for client in holding.iter_mut().chain(&mut without_place) {
+    for client in holding.iter_mut().chain(&mut without_descriptor) {
         assert_eq!(client.receive().0, 1, "each client gets its answer");
     }
 }
--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -86,7 +86,7 @@
     assert_eq!(client.receive(), (2_000, Ok(ROWS.to_owned())));
 }
 
-/// Threat: time that is deducted where nothing delayed the request would cost service.
+/// Threat: time that is deducted from a request that nothing delayed would cost service.
 #[test]
 fn no_time_is_deducted_from_a_request_that_is_read_at_once() {
     let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
--- a/crates/router/tests/drain_resets.rs
+++ b/crates/router/tests/drain_resets.rs
@@ -1,9 +1,10 @@
-//! An engine that drains during a query: it closes its port, resets its connections and continues to work.
-//! Whenever in the query's life that happens, and whether its client stays or leaves, the next query of its
-//! order key is sent only once the first one is certainly over. By the protocol that is when it has ended,
+//! An engine drains during a query: it closes its port, resets its connections and continues to work. At
+//! whatever time of the query that happens, and whether its client stays or leaves, the next query of its
+//! order key is sent only when the first one can no longer run. By the protocol that is when it has ended,
 //! was cancelled, or was not polled for 2 s.
 //!
-//! More steps by hand: `STEPS=200 cargo test -p woadhook-router --test drain_resets`.
+//! The environment variable `STEPS` sets the number of runs: `STEPS=200 cargo test -p woadhook-router --test
+//! drain_resets`.
 
 use std::env;
 use std::io::Write;
@@ -16,14 +17,14 @@
 
 const ROWS: &str = "a\tb\tc\n";
 const ENGINES: usize = 3;
-/// How much later in the query's life the drain comes from one run to the next.
+/// How much later the drain begins from one run to the next.
 const STEP: Duration = Duration::from_millis(20);
-/// This many runs cover the life of a query, 4 s.
+/// The number of runs that covers the time of a query, 4 s.
 const TOTAL_STEPS: usize = 200;
 const STEPS_IN_CI: usize = 20;
-/// The number of runs at once.
+/// The number of runs that go on at the same time.
 const CONCURRENT_RUNS: usize = 20;
-/// The time after which the client leaves, in the runs where it does.
+/// The time after which the client leaves, in the runs in which it leaves.
 const CLIENT_LEAVES_AFTER: Duration = Duration::from_millis(300);
 /// The time between the closing of the port and the reset.
 const BEFORE_RESET: Duration = Duration::from_millis(60);
@@ -37,15 +38,17 @@
 struct Observed {
     /// The engine that received the first query, and when.
     first: Option<(usize, Instant)>,
-    /// When the first query was last polled, and when it was cancelled.
+    /// When the first query was last polled.
     last_polled: Option<Instant>,
+    /// When the first query was cancelled.
     deleted: Option<Instant>,
+    /// When the second query arrived.
     second: Option<Instant>,
 }
 
 impl Observed {
-    /// The moment from which the first query certainly no longer runs.
-    fn certainly_over(&self) -> Instant {
+    /// The time from which the first query can no longer run.
+    fn first_ended_by(&self) -> Instant {
         let unpolled_end = self.last_polled.expect("the first query arrived") + UNPOLLED_EXPIRY;
         self.deleted.map_or(unpolled_end, |deleted| deleted.min(unpolled_end))
     }
@@ -80,8 +83,8 @@
     })
 }
 
-/// One run, in which the engine of the first query begins to drain that long after it received it. Returns an
-/// error if the next query was sent too early.
+/// Runs the scenario once: the engine of the first query begins to drain `drains_after` its arrival. Returns
+/// an error if the next query was sent too early.
 fn run(drains_after: Duration, client_leaves: bool) -> Result<(), String> {
     let observed: Arc<Mutex<Observed>> = Arc::default();
     let engines: Vec<StandinServer> = (0..ENGINES).map(|number| engine(number, &observed)).collect();
@@ -125,10 +128,10 @@
     }
     while client.receive().0 != 2 {}
     let observed = observed.lock().unwrap();
-    let (second, certainly_over) =
-        (observed.second.expect("the second query was answered"), observed.certainly_over());
-    if second < certainly_over {
-        let too_early_by = certainly_over - second;
+    let (second, first_ended_by) =
+        (observed.second.expect("the second query was answered"), observed.first_ended_by());
+    if second < first_ended_by {
+        let too_early_by = first_ended_by - second;
         return Err(format!(
             "drains after {drains_after:?}, client leaves = {client_leaves}: sent {too_early_by:?} too early"
         ));
--- a/crates/router/tests/failing_calls.rs
+++ b/crates/router/tests/failing_calls.rs
@@ -17,12 +17,12 @@
 const REQUESTS: u32 = 60;
 /// How long a client waits for its answer, in milliseconds.
 const WAIT_MS: u32 = 1_000;
-/// How long a fault lasts that occurs with each call.
+/// How long a fault that occurs with each call lasts.
 const FAULT_TIME: Duration = Duration::from_secs(3);
 /// The number of connections that are aborted in a row before one is accepted.
 const ABORTED_CONNECTIONS: u64 = 200;
 
-/// A router with injected faults; `None` where the machine has no compiler, which is printed.
+/// Starts a router with injected faults. Returns `None` if the machine has no compiler, and prints that.
 fn router(scenario: &str, engine: &StandinServer) -> Option<(RouterProcess, Preload)> {
     let folder = folders::run_folder(env!("CARGO_TARGET_TMPDIR"), &format!("failing-{scenario}"));
     let preload =
@@ -95,7 +95,8 @@
     assert!(router.wait().success());
 }
 
-/// The same for the other system calls of the thread.
+/// Guards against other system calls of the thread that are retried in place while they are interrupted,
+/// which would block signals.
 #[test]
 fn an_always_interrupted_call_delays_no_signal() {
     let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
@@ -115,7 +116,7 @@
     }
 }
 
-/// Longer than a message may take, and than an answer may stay unsent.
+/// The duration of a fault that lasts longer than a message may take, and than an answer may stay unsent.
 const LONG_FAULT_TIME: Duration = Duration::from_millis(3_500);
 
 /// Guards against counting interruptions as slowness of a client in the middle of its message.
@@ -136,7 +137,7 @@
     assert_eq!(client.receive(), (1, Ok(ROWS.to_owned())));
 }
 
-/// The same for an answer.
+/// Guards against counting interruptions as slowness of a client while an answer is written to it.
 #[test]
 fn an_answer_whose_writes_are_interrupted_for_long_arrives() {
     let delay = Duration::from_millis(300);
@@ -173,8 +174,8 @@
     }
 }
 
-/// Guards against counting a request's time from when the listener last had nothing to accept, where an
-/// accept fails after an idle time longer than the client waits.
+/// Guards against counting a request's time from when the listener last had nothing to accept, if an accept
+/// fails after an idle time longer than the client waits.
 #[test]
 fn a_client_whose_accept_fails_once_after_an_idle_time_keeps_its_full_time() {
     let engine = StandinServer::start(|call| result_page(call, &[ROWS]));
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Router processes against stand-in engines and bulletins, with faults among them. Each verdict rests on
-//! counts over all processes together, on what never happens, and on what happens in the end.
+//! Router processes run against stand-in engines and bulletins while faults are injected. Each verdict is
+//! based on counts over all processes together, on what never happens, and on what happens in the end.
 
 use std::fs;
 use std::path::PathBuf;
@@ -68,7 +68,7 @@
     /// Longer than the checker allows for the machine and the deadline's slack.
     const STALL: Duration = Duration::from_millis(1_200);
     let fleet = Fleet::start(PROGRAM, &folder("stood"), Layout::single_zone(2, 2));
-    // Repeated, as callers whose jobs run for long send none meanwhile.
+    // The stall is repeated, as callers whose jobs run for long send none during one of the stalls.
     for _ in 0..4 {
         thread::sleep(Duration::from_millis(250));
         fleet.relays.block_thread(STALL);
@@ -91,15 +91,15 @@
     run("roll", &Schedule { seed: 0, faults });
 }
 
-/// In milliseconds. Less than the grace period and than a caller's wait, so that requests that a partition
-/// delays still arrive within both.
+/// The duration of a partition in milliseconds: less than the grace period and than a caller's wait, so that
+/// requests that a partition delays still arrive within both.
 const CUT_MS: u64 = 1_200;
 
 #[test]
 fn a_partitioned_zone_continues_to_serve_and_answers_all_accepted_jobs() {
-    let (one, rest) = (EndpointSet::zone("z1"), EndpointSet::All);
-    let within = (one.clone(), one.clone(), Way::default());
-    let cut = vec![(one.clone(), rest.clone(), Way::CUT), (rest, one, Way::CUT), within];
+    let (zone, all) = (EndpointSet::zone("z1"), EndpointSet::All);
+    let within = (zone.clone(), zone.clone(), Way::default());
+    let cut = vec![(zone.clone(), all.clone(), Way::CUT), (all, zone, Way::CUT), within];
     let faults = vec![(Fault::Lay(cut.clone(), CUT_MS), 300), (Fault::Lay(cut, CUT_MS / 2), 0)];
     run_with("zone", Layout::with_zones(9, 9, 3, 1), &Schedule { seed: 0, faults });
 }
@@ -130,7 +130,8 @@
     }
 }
 
-/// A search over seeds, outside CI: `WAYS=100..140 cargo test --test fleet -- --ignored search`.
+/// A search over seeds that CI does not run. The environment variable `WAYS` gives the range of seeds:
+/// `WAYS=100..140 cargo test --test fleet -- --ignored search`.
 #[test]
 #[ignore = "takes minutes; seeds that it finds become scenarios"]
 fn search_for_a_network_fault_schedule_that_breaks_a_rule() {
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -24,20 +24,27 @@
     Moment::from_micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64)
 }
 
-fn before(span: f64) -> Moment {
-    Moment::from_micros(now().since(Moment::default()).saturating_sub(Span::from_secs(span)).micros())
+fn seconds_ago(seconds: f64) -> Moment {
+    Moment::from_micros(now().since(Moment::default()).saturating_sub(Span::from_secs(seconds)).micros())
 }
 
 /// A member's key with a pass that is valid now.
 fn member(number: u64, name: &str, by: &SecretKey) -> Identity {
     let secret = secret_key(number);
-    let pass =
-        Pass::issue(by, name, secret.public(), cluster_id(), before(60.0), now() + Span::from_secs(3600.0))
-            .unwrap();
+    let pass = Pass::issue(
+        by,
+        name,
+        secret.public(),
+        cluster_id(),
+        seconds_ago(60.0),
+        now() + Span::from_secs(3600.0),
+    )
+    .unwrap();
     Identity::new(secret, pass, &TrustStore::new(cluster_id(), vec![by.public()]), now()).unwrap()
 }
 
-/// A router with gossip and the key of that number, and the address at which it listens.
+/// Starts a router with gossip and the key with this number. Returns the router and the address at which its
+/// gossip listens.
 fn start_with_gossip(
     engines: &[SocketAddr], seeds: Vec<SocketAddr>, number: u64,
 ) -> (RouterThread, SocketAddr) {
@@ -64,25 +71,25 @@
 /// A peer that sends whatever the test wants.
 struct Peer {
     socket: UdpSocket,
-    own: Identity,
+    identity: Identity,
     incarnation: u64,
     number: u64,
 }
 
 impl Peer {
-    fn new(own: Identity) -> Self {
+    fn new(identity: Identity) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let incarnation = now().since(Moment::default()).micros() / 1000;
-        Self { socket, own, incarnation, number: 0 }
+        Self { socket, identity, incarnation, number: 0 }
     }
 
     fn send_observation(&mut self, to: SocketAddr, sent: Moment, engine: &str, corrupt: bool) {
         self.number += 1;
         let record =
-            MemberRecord::issue(&self.own, self.socket.local_addr().unwrap(), self.incarnation, false);
+            MemberRecord::issue(&self.identity, self.socket.local_addr().unwrap(), self.incarnation, false);
         let observation = Observation::issue(
-            &self.own,
+            &self.identity,
             self.incarnation,
             self.number,
             sent,
@@ -94,7 +101,7 @@
         );
         let items = [(ItemTag::Observation, observation.to_bytes().into())];
         let (mut bytes, _) = encode_signed(
-            &self.own,
+            &self.identity,
             DatagramKind::Ping,
             NO_MEMBER,
             sent,
@@ -129,7 +136,7 @@
     let mut stranger = Peer::new(member(3, "n3", &secret_key(99)));
     stranger.send_observation(address, now(), "s-0", false);
     let mut member_peer = Peer::new(member(2, "n2", &operator_key()));
-    member_peer.send_observation(address, before(86_400.0), "s-0", false);
+    member_peer.send_observation(address, seconds_ago(86_400.0), "s-0", false);
     member_peer.send_observation(address, now(), "s-0", true);
     member_peer.socket.send_to(b"engine s-0 is dead", address).unwrap();
     // The valid datagram comes last, over the same socket: once it has had its effect, the others have been
@@ -147,8 +154,8 @@
 fn a_failure_at_one_router_is_reported_to_another_that_probes() {
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n"]));
     // Nothing listens there: a job's dispatch fails to connect.
-    let dead = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (first, address) = start_with_gossip(&[dead], vec![], 1);
+    let unused = SocketAddr::from(([127, 0, 0, 1], 1));
+    let (first, address) = start_with_gossip(&[unused], vec![], 1);
     let (second, _) = start_with_gossip(&[engine.address], vec![address], 2);
     assert!(Client::connect(&second).ping(1));
     // Both routers know "s-0", each at another address. An observation that is sent before they have met is
--- a/crates/router/tests/panics.rs
+++ b/crates/router/tests/panics.rs
@@ -16,8 +16,8 @@
 use woadhook_standins::*;
 
 const ROWS: &str = "a\tb\tc\n";
-/// How long a key rests after its dispatch was in doubt.
-const REST: Duration = Duration::from_millis(50);
+/// The pause of a key (`turnGapUs`): how long no further job of the key is sent after a dispatch in doubt.
+const KEY_PAUSE: Duration = Duration::from_millis(50);
 
 /// A logger that panics once at a line that begins with `start`.
 struct PanickingLogger {
@@ -84,12 +84,12 @@
     let concurrent = ran_concurrently.clone();
     let (mut deletes, mut cancelled) = (0, false);
     let engine = StandinServer::start(move |call| {
-        let of_first = call.line.contains("0000000000000001");
-        let first = call.fields.contains(&"X-Trace: 0000000000000001".to_owned());
+        let has_first_path = call.line.contains("0000000000000001");
+        let has_first_trace = call.fields.contains(&"X-Trace: 0000000000000001".to_owned());
         match call.line.split(' ').next() {
-            Some("POST") if first => response(202, &[], ""),
-            Some("GET") if of_first => Response::CloseConnection,
-            Some("DELETE") if of_first => {
+            Some("POST") if has_first_trace => response(202, &[], ""),
+            Some("GET") if has_first_path => Response::CloseConnection,
+            Some("DELETE") if has_first_path => {
                 deletes += 1;
                 // The first DELETE breaks, so that the task of the query reports the cancellation.
                 cancelled = deletes > 1;
@@ -105,7 +105,7 @@
     });
     let mut config: Value =
         serde_json::from_str(&router_config(&[engine.address], unused_address(), 1024)).unwrap();
-    config["settings"]["obligations"]["turnGapUs"] = json!(REST.as_micros() as u64);
+    config["settings"]["obligations"]["turnGapUs"] = json!(KEY_PAUSE.as_micros() as u64);
     config["settings"]["classes"][1]["keepOrder"] = json!(true);
     let router = RouterThread::start_with_config(&config.to_string());
     let mut client = Client::connect(&router);
@@ -153,8 +153,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum First {
     /// Its engine runs it.
-    Out,
-    /// Its client aborted it, and no engine has confirmed that it was cancelled.
+    Running,
+    /// Its client aborted it, and its engine has not confirmed that it was cancelled.
     InDoubt,
 }
 
@@ -163,7 +163,7 @@
 #[test]
 fn a_panic_of_the_decision_module_keeps_the_order_of_a_key_whose_query_may_run() {
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
-    for first in [First::Out, First::InDoubt] {
+    for first in [First::Running, First::InDoubt] {
         let (ran_concurrently, cancelled) =
             (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let (concurrent, is_cancelled) = (ran_concurrently.clone(), cancelled.clone());
@@ -185,7 +185,7 @@
         });
         let mut config: Value =
             serde_json::from_str(&router_config(&[engine.address], unused_address(), 1024)).unwrap();
-        config["settings"]["obligations"]["turnGapUs"] = json!(REST.as_micros() as u64);
+        config["settings"]["obligations"]["turnGapUs"] = json!(KEY_PAUSE.as_micros() as u64);
         config["settings"]["classes"][1]["keepOrder"] = json!(true);
         let router = RouterThread::start_with_config(&config.to_string());
         let mut client = Client::connect(&router);
@@ -200,10 +200,11 @@
         send_load(&mut client, 2);
         engine.wait_for_call("DELETE");
         send_load(&mut client, 3);
-        // After several attempts to cancel the first load, the third load has had its chance to be sent.
+        // By the time of several attempts to cancel the first load, a router that had forgotten the key would
+        // have sent the third load.
         (0..5).for_each(|_| _ = engine.wait_for_call("DELETE"));
         cancelled.store(true, Ordering::SeqCst);
-        let expected_count = if first == First::Out { 3 } else { 2 };
+        let expected_count = if first == First::Running { 3 } else { 2 };
         let mut answers: Vec<Answer> = (0..expected_count).map(|_| client.receive()).collect();
         answers.sort_by_key(|(number, _)| *number);
         let failed = |number| (number, Err("Internal".to_owned()));
--- a/crates/router/tests/processes.rs
+++ b/crates/router/tests/processes.rs
@@ -1,8 +1,8 @@
 //! Processes that tests start end with their test.
 //!
-//! Routers of a killed test used to keep running: all eight of a killed soak were alive a second later. They
-//! probe ports that may belong to another test by then. A stand-in for discovery that received a request for
-//! a load report panicked while it held its lock and answered no further call.
+//! Routers of a killed test used to keep running: all eight of a killed soak were alive a second later. Such
+//! routers probe ports that may belong to another test by then. A stand-in for discovery that received such a
+//! probe, a request for a load report, used to panic while it held its lock, and answered no further call.
 
 use std::env;
 use std::fs;
@@ -16,7 +16,8 @@
 use woadhook_standins::processes::RouterProcess;
 use woadhook_standins::{DiscoveryEvents, TEST_TIMEOUT, router_config};
 
-/// This environment variable is set where this program runs as the test that is killed.
+/// The environment variable that is set when this program runs as the test that is killed. It holds the
+/// folder for the router's files.
 const FOLDER_VARIABLE: &str = "WOADHOOK_TEST_TO_BE_KILLED";
 
 #[test]
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -145,7 +145,7 @@
         "out",
     ];
     assert!(run(&folder, &revoke).unwrap().contains("1 on the list"));
-    assert!(run(&folder, &revoke).unwrap().contains("1 on the list"), "the list holds each key once");
+    assert!(run(&folder, &revoke).unwrap().contains("1 on the list"), "the list contains each key once");
     assert!(run(&folder, &["key", "show", "out"]).unwrap().starts_with("revoked "));
     fs::set_permissions(folder.join("n1.key"), fs::Permissions::from_mode(0o640)).unwrap();
     for arguments in [&["key", "show", "n1.key"][..], &["check", "--operator", "site.jsonnet"]] {
@@ -257,9 +257,9 @@
     create_voter_set("operator.key", "elsewhere", "2", "foreign").unwrap();
     let site = fs::read_to_string(folder.join("site.jsonnet")).unwrap();
     let check = |voter_set: &str, accord: &str| {
-        let with = site.replace("operator_keys:", &format!("order: '{voter_set}', operator_keys:"));
-        let with = with.replace("gossip:", &format!("accord: {{ {accord} }}, gossip:"));
-        fs::write(folder.join("with.jsonnet"), with).unwrap();
+        let operator_file = site.replace("operator_keys:", &format!("order: '{voter_set}', operator_keys:"));
+        let operator_file = operator_file.replace("gossip:", &format!("accord: {{ {accord} }}, gossip:"));
+        fs::write(folder.join("with.jsonnet"), operator_file).unwrap();
         run(&folder, &["check", "--operator", "with.jsonnet"])
     };
     assert!(check("order", "").unwrap().contains("epoch 1 with 1 voters"));
@@ -300,8 +300,8 @@
     assert!(serves, "the program ended");
 }
 
-/// Threat: the reader of the log stops, as with a full disk or a stopped collector, and the pipe fills up.
-/// Lines may be lost, requests may not.
+/// Threat: the reader of the log stops, for example because a disk is full or a collector has stopped, and
+/// the pipe fills up. Lines may be lost, requests may not.
 #[test]
 fn an_unread_log_blocks_no_request() {
     const REQUESTS: u32 = 600;
--- a/crates/router/tests/scenarios/main.rs
+++ b/crates/router/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Scenarios of one router against stand-ins on loopback, one for each failure that was met or is expected on
-//! sockets.
+//! Scenarios of one router against stand-ins on loopback, one for each failure that was observed or is
+//! expected on sockets.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -300,7 +300,7 @@
 #[test]
 fn a_malformed_probe_answer_leaves_its_engine_in_use() {
     let (done, mut probes) = (Arc::new(AtomicBool::new(false)), 0);
-    let end = done.clone();
+    let is_done = done.clone();
     let engine = StandinServer::start(move |call| {
         if call.line.starts_with("GET /load") {
             probes += 1;
@@ -312,7 +312,7 @@
         }
         let first = call.line.contains("/0000000000000001")
             || call.fields.iter().any(|field| field == "X-Trace: 0000000000000001");
-        if first && !end.load(Ordering::Relaxed) {
+        if first && !is_done.load(Ordering::Relaxed) {
             response(202, &[], "")
         } else {
             result_page(call, &["a\tb\tc\n"])
@@ -456,10 +456,10 @@
 
 #[test]
 fn a_query_survives_broken_connections() {
-    let mut cut = 0;
+    let mut calls = 0;
     let engine = StandinServer::start(move |call| {
-        cut += 1;
-        if cut < 4 { Response::CloseConnection } else { result_page(call, &["a\tb\tc\n"]) }
+        calls += 1;
+        if calls < 4 { Response::CloseConnection } else { result_page(call, &["a\tb\tc\n"]) }
     });
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     client.send_job(1, "load", 20_000);
@@ -485,7 +485,8 @@
     let engine = StandinServer::start(|call| result_page(call, &["a\tb\tc\n", "d\te\tf\n"]));
     let mut client = Client::connect(&RouterThread::start_with_idle_discovery(&[engine.address]));
     let (mut number, mut connections_used, deadline) = (0, Vec::new(), Instant::now() + TEST_TIMEOUT);
-    // A connection rests between jobs, so the first connection is used again only after some jobs.
+    // A connection stays idle for a minimum time between jobs, so the first connection is used again only
+    // after some jobs.
     while connections_used.iter().filter(|connection| **connection == 0).count() < 4 {
         assert!(Instant::now() < deadline, "{connections_used:?}");
         number += 1;
@@ -606,7 +607,7 @@
     client.send_job(1, "load", 60_000);
     engine.wait_for_call("POST");
     router.commands.send_blocking(OperatorCommand::Stop).unwrap();
-    // The front end learns of the stop, and the router continues to serve.
+    // The front end is notified of the stop, and the router continues to serve.
     while client.ping(9) {}
     let mut late = Client::connect(&router);
     (2..22).for_each(|number| late.send_job(number, "load", 20_000));
@@ -621,9 +622,13 @@
 #[test]
 fn an_idle_client_is_closed_unless_it_awaits_an_answer() {
     let done = Arc::new(AtomicBool::new(false));
-    let end = done.clone();
+    let is_done = done.clone();
     let engine = StandinServer::start(move |call| {
-        if end.load(Ordering::Relaxed) { result_page(call, &["a\tb\tc\n"]) } else { response(202, &[], "") }
+        if is_done.load(Ordering::Relaxed) {
+            result_page(call, &["a\tb\tc\n"])
+        } else {
+            response(202, &[], "")
+        }
     });
     let router = RouterThread::start_with_idle_discovery(&[engine.address]);
     let mut waiting = Client::connect(&router);
--- a/crates/router/tests/slow.rs
+++ b/crates/router/tests/slow.rs
@@ -1,4 +1,4 @@
-//! Peers that read or write too slowly, on loopback, and their effect on others.
+//! Engines and clients that read or write too slowly, on loopback, and their effect on others.
 
 use std::io::Write;
 use std::path::Path;
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_slow_result_is_served_where_all_engines_are_slow() {
+fn a_slow_result_is_served_when_all_engines_are_slow() {
     let long_page: &'static str = ROWS.repeat(300).leak();
     let engine = StandinServer::start(move |call| match call.line.split(' ').next() {
         Some("POST") => response(202, &[], ""),
@@ -186,7 +186,7 @@
         for number in 1..=requests {
             client.send_job(number, "look", 20_000);
             if number % 20 == 0 {
-                // So that no more than 32 requests are open, as the protocol demands.
+                // The pause keeps the open requests at 32 or fewer, as the protocol demands.
                 thread::sleep(Duration::from_millis(300));
             }
         }
--- a/crates/router/tests/slow_discovery.rs
+++ b/crates/router/tests/slow_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that answers late, slowly, or not at all on some connections: the router still learns of changes
+//! Discovery answers late, slowly, or not at all on some connections, and the router still receives changes
 //! of the engine list in time.
 
 use std::io::Write;
@@ -51,8 +51,8 @@
     assert_eq!(engines[1].received_calls("POST").len(), 20);
 }
 
-/// Threat: an overloaded discovery. The grace period is a second here, and a call asks to wait for at most a
-/// quarter of it. In the last case the first connection also stays silent for good.
+/// Threat: an overloaded discovery answers late. The grace period is a second here, and a call asks discovery
+/// to wait for at most a quarter of it. In the last case the first connection also never gets an answer.
 #[test]
 fn a_drain_is_obeyed_with_a_discovery_that_answers_late() {
     for (late, first_is_silent) in [(600, false), (2_000, false), (2_000, true)] {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Threat: a router that starts while discovery is overloaded by all the others that start.
+/// Threat: a router starts while discovery is overloaded by all the other routers that start.
 #[test]
 fn a_router_without_a_list_becomes_ready_with_a_discovery_that_answers_late() {
     let engine = engine();
@@ -85,12 +85,12 @@
         assert!(Instant::now() < deadline, "not ready");
         thread::sleep(Duration::from_millis(20));
     }
-    // A complete list at each call is what would overload it.
+    // Requesting a complete list with each call would overload discovery.
     let full_requests = discovery.received_calls("GET /bulletins?after=0&").len();
     assert!(full_requests <= 3, "the complete list was requested {full_requests} times");
 }
 
-/// Threat: a list that arrives slowly, but completely.
+/// Threat: a list arrives slowly, but completely.
 #[test]
 fn a_long_list_that_arrives_in_pieces_is_read_completely() {
     let engines = [engine(), engine()];
@@ -187,7 +187,7 @@
     let mut remaining_moves = moves.iter().zip(&others).peekable();
     while changed.lock().unwrap().is_none_or(|at| at.elapsed() < grace.mul_f64(1.7)) {
         assert!(Instant::now() < deadline, "the list did not change");
-        // Tables of many groups, so that all engines have work.
+        // The queries use tables of many groups, so that all engines have work.
         for _ in 0..TABLE_GROUPS {
             number += 1;
             let (id, text) =
@@ -226,7 +226,7 @@
     );
 }
 
-/// Threat: a discovery whose answers take most of the grace period. Calls used to go out 0.375 of the grace
+/// Threat: the answers of discovery take most of the grace period. Calls used to go out 0.375 of the grace
 /// period apart, so the router learned of a change that much later than an answer takes. Measured with a
 /// grace period of 2 s: with answers late by 0.5 of it the last query was sent 0.88 of it after the change,
 /// with 0.7 1.08, with 0.95 1.34.
@@ -235,17 +235,17 @@
     assert_changes_are_obeyed_in_time(&[0.5, 0.6, 0.7, 0.75]);
 }
 
-/// Beyond what the limited number of concurrent calls can achieve.
+/// With answers this late, being in time is beyond what the limited number of concurrent calls can achieve.
 #[test]
 fn changes_are_heard_in_time_from_a_discovery_late_by_nearly_all_of_the_grace() {
     assert_changes_are_obeyed_in_time(&[0.85, 0.95]);
 }
 
-/// Found by the soak, seed 109: two reloads in a row, each right before the late answer of the discovery that
-/// it leaves. A new address used to end the calls to the old one, so that each reload restarted the wait for
-/// an answer.
+/// Found by the soak, seed 109: two reloads in a row, each right before the late answer of the discovery from
+/// which it moves the router away. A new address used to end the calls to the old one, so that each reload
+/// restarted the wait for an answer.
 #[test]
-fn a_change_is_obeyed_in_time_where_discovery_moves_during_its_late_answers() {
+fn a_change_is_obeyed_in_time_when_discovery_moves_during_its_late_answers() {
     let grace = Duration::from_secs(3);
     let late = grace.mul_f64(0.4);
     let moves = [grace.mul_f64(0.3), grace.mul_f64(0.65)];
--- a/crates/router/tests/stands_and_steps.rs
+++ b/crates/router/tests/stands_and_steps.rs
@@ -1,5 +1,5 @@
-//! Rules under a suspended process, a wall clock that steps, and a shutdown. `docs/PROMISES.md` listed them
-//! as open until these tests forced the cases.
+//! The router's rules hold while its process is suspended, when the wall clock steps, and during a shutdown.
+//! `docs/PROMISES.md` listed these cases as open until these tests forced them.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -31,9 +31,10 @@
     Client(stream)
 }
 
-/// Rule 3: the router is suspended while its engine begins to drain and for longer than the grace period; a
+/// Nothing may be sent to an engine later than the grace period after the router was notified that it drains.
+/// Here the router is suspended while its engine begins to drain and for longer than the grace period, and a
 /// request waits in its socket meanwhile. Discovery publishes the drain while the router's call is open, or
-/// after that call has ended, where only the next call reports it.
+/// after that call has ended, so that only the next call reports it.
 #[test]
 fn a_suspended_router_sends_nothing_to_an_engine_drained_meanwhile() {
     let after_the_call = Duration::from_millis(600);
@@ -77,8 +78,8 @@
     }
 }
 
-/// Rules 1 and 2 during a shutdown: a run-once job that may have run is not rejected as if it had not run,
-/// and it gets its answer.
+/// During a shutdown too, each job gets exactly one final answer, and no run-once job runs twice: one that
+/// may have run is not rejected as if it had not run, and it gets its answer.
 #[test]
 fn a_run_once_job_in_flight_at_shutdown_is_never_rejected() {
     let engine = StandinServer::start(|call| match call.line.split(' ').next() {
--- a/crates/router/tests/waiting_calls.rs
+++ b/crates/router/tests/waiting_calls.rs
@@ -1,5 +1,5 @@
-//! Calls that may block without bound: log lines that nobody reads, files that don't arrive. Whatever they
-//! wait for, requests are answered, signals are handled and the process ends.
+//! Calls that may block without bound: writes of log lines that nobody reads, and reads of files that don't
+//! arrive. Meanwhile requests are answered, signals are handled and the process can end.
 //!
 //! The only thread that carries requests used to write its log lines and read the configuration itself. With
 //! a full pipe on standard error, or a configuration that is a FIFO without a writer, the thread blocked in
@@ -42,12 +42,12 @@
 }
 
 impl Router {
-    /// Starts a router with its standard error at `log`; `level` is the default one where it is `None`.
+    /// Starts a router with its standard error at `log`. It logs at the default level if `level` is `None`.
     fn start(scenario: &str, config: &str, log: Stdio, level: Option<&str>) -> Self {
-        Self::with(scenario, config, log, level, &[])
+        Self::start_with(scenario, config, log, level, &[])
     }
 
-    fn with(scenario: &str, config: &str, log: Stdio, level: Option<&str>, arguments: &[&str]) -> Self {
+    fn start_with(scenario: &str, config: &str, log: Stdio, level: Option<&str>, arguments: &[&str]) -> Self {
         let router = Self::start_unready(scenario, config, log, level, arguments);
         router.wait_until_ready();
         router
@@ -103,7 +103,7 @@
         fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap().count()
     }
 
-    /// Waits for the router to end after it was ordered to; `None` where it does not end.
+    /// Waits for the router to end. Returns `None` if it does not end in time.
     fn wait_for_end(&mut self) -> Option<ExitStatus> {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < deadline {
@@ -205,7 +205,7 @@
     assert!(router.wait_for_end().is_some_and(|status| status.success()), "the router did not end cleanly");
 }
 
-/// Reads slowly, as a log collector does that is behind.
+/// Reads the log slowly, like a log collector that lags behind.
 fn read_slowly(log: OwnedFd) {
     let mut log = File::from(log);
     thread::spawn(move || {
--- a/crates/router/tests/wall_clock.rs
+++ b/crates/router/tests/wall_clock.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// A running router receives a start time of its engine from discovery.
+/// Checks that a running router treats an engine as cold once discovery has reported the engine's start.
 fn check_reported_start(
     before: impl FnOnce(&StandinServer) -> Value, start: impl FnOnce(&StandinServer) -> Value,
 ) {
