--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -1,6 +1,6 @@
-//! Compares algorithms that assign working sets for many routers and many engines;
-//! `docs/design/subsetting.md` cites the figures: how evenly connections and load spread over the engines,
-//! and how many memberships change when engines leave or restart.
+//! Compares algorithms that assign working sets for many routers and many engines. It prints how evenly
+//! connections and load spread over the engines, and how many memberships change when engines leave or
+//! restart; `docs/design/subsetting.md` cites the figures.
 
 use std::collections::{HashMap, HashSet};
 
@@ -25,14 +25,14 @@
     stable_hash: u64,
 }
 
-/// For each router, the engines of its working set in their order.
+/// For each router, the engines of its working set.
 type WorkingSets = Vec<Vec<Engine>>;
 
 #[derive(Clone, Copy)]
 enum Algorithm {
-    /// Each engine picks its routers; no zone is preferred.
+    /// Each engine picks its routers, with no preference for a zone.
     EnginePicks,
-    /// Each engine picks its routers, more of its own zone.
+    /// Each engine picks its routers, and prefers those of its own zone.
     EnginePicksByZone,
     /// Each router takes its first engines by rendezvous hashing, half of them from its own zone.
     Rendezvous,
@@ -65,8 +65,8 @@
     }
 }
 
-/// The working set of one router where engines pick. With the zone `usize::MAX`, it is drawn from all engines
-/// alike.
+/// The working set of one router if engines pick their routers. With the zone `usize::MAX`, the set is drawn
+/// from the engines of all zones alike.
 fn picked_by_engines(index: u32, zone: usize, engines: &[Engine]) -> Vec<Engine> {
     let effective_class =
         |class: EngineClass| if zone == usize::MAX { EngineClass { zone: 0, ..class } } else { class };
@@ -110,7 +110,8 @@
     (0..ENGINES).map(engine).collect()
 }
 
-/// The sum that each engine gets, where `contribution` is what a router adds to an engine of its working set.
+/// For each engine, the sum over the routers that hold it of `contribution`, which is called with the router,
+/// its working set and the engine.
 fn sums_by_engine(
     sets: &WorkingSets, engines: &[Engine], contribution: impl Fn(usize, &[Engine], &Engine) -> f64,
 ) -> Vec<f64> {
@@ -129,7 +130,8 @@
     sums.iter().copied().fold(0.0, f64::max) * sums.len() as f64 / sums.iter().sum::<f64>()
 }
 
-/// How many engines a router gains and loses, on average and at most, of those for which `is_compared` holds.
+/// The number of engines that a router gains and loses, as mean and maximum over the routers. Only engines
+/// for whose stable hash `is_compared` is true are counted.
 fn membership_changes(
     before: &WorkingSets, after: &WorkingSets, is_compared: impl Fn(u64) -> bool,
 ) -> (f64, usize) {
@@ -144,7 +146,7 @@
     (mean, changed.into_iter().max().unwrap_or_default())
 }
 
-/// Mean number of engines that the jobs of a table group go to, where each router sends them to the engine of
+/// Mean number of engines to which the jobs of a table group go if each router sends them to the engine of
 /// its working set that is first by rendezvous hashing.
 fn engines_per_table_group(sets: &WorkingSets) -> f64 {
     let counts = (0..TABLE_GROUPS).map(|group| {
--- a/crates/subset/src/engine_counts.rs
+++ b/crates/subset/src/engine_counts.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The number of listed engines of each class. Only classes that have engines take an entry.
+/// The number of listed engines of each class. Only classes that have engines have an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounts {
     counts: BTreeMap<EngineClass, usize>,
@@ -37,7 +37,7 @@
         *self.counts.entry(class).or_default() += 1;
     }
 
-    /// Removes one engine that was added before; does nothing where none of the class is counted.
+    /// Removes one engine that was added before; does nothing if no engine of the class was added.
     pub fn remove(&mut self, class: EngineClass) {
         let Some(count) = self.counts.get_mut(&class) else { return };
         *count -= 1;
--- a/crates/subset/src/working_set.rs
+++ b/crates/subset/src/working_set.rs
@@ -1,4 +1,5 @@
-//! Decides how many replicas hold an engine of each class, and whether one replica is among them.
+//! Computes how many replicas hold the engines of each class, and whether a given replica holds a given
+//! engine. A replica holds an engine if the engine is in its working set.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +7,12 @@
 use crate::rank::{Replica, rank};
 use crate::{ANY_ZONE_SET_SIZE, MIN_HOLDERS, RESTRICTED_TYPE_SET_SIZE, TARGET_SET_SIZE};
 
-/// The number of times a replica that needs more engines may double its working set; bounds the growth.
+/// Maximum number of times that a replica that needs more engines doubles its working set. It bounds the
+/// growth of the set.
 pub const MAX_DOUBLINGS: u32 = 2;
 
-/// The steps to which engine counts are rounded down, in thousandths of the power of two below the count.
+/// The steps to which engine counts are rounded down, in thousandths of the largest power of two that is not
+/// above the count. They approximate the powers of two with the exponents 0, 1/4, 1/2 and 3/4.
 const ROUNDING_STEPS_THOUSANDTHS: [usize; 4] = [1000, 1189, 1414, 1682];
 
 /// How many replicas hold each engine of a class.
@@ -18,12 +21,12 @@
     /// The number of replicas, from the lowest rank on, that hold the engine whatever their zone. They share
     /// its cold-start budget.
     pub base: usize,
-    /// The number that this replica computes for itself: more than `base` where the engine is in its own
-    /// zone.
+    /// The number of replicas, from the lowest rank on, to which this replica must belong to hold the engine
+    /// itself, before doublings. It may exceed `base` if the engine is in this replica's zone.
     pub effective: usize,
 }
 
-/// How a replica holds one engine.
+/// The position of a replica among the replicas that hold an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Membership {
     /// This replica's position among the holders of the engine, from 0.
@@ -31,18 +34,18 @@
     /// The number of replicas, from the lowest rank on, that share the engine's cold-start budget. All
     /// replicas compute the same number.
     pub budget_sharers: usize,
-    /// The number of replicas that would hold the engine if all were in this replica's zone and had doubled
-    /// as often as it; determines this replica's part of the engine.
+    /// The number of replicas that would hold the engine if all replicas were in this replica's zone and had
+    /// doubled their working sets as often as this replica. It determines this replica's part of the engine.
     pub holders: usize,
 }
 
-/// The working set of one replica, for the engines counted. Two replicas with equal counts agree on which
-/// replicas share an engine's cold-start budget.
+/// The working set of one replica, computed from the [`EngineCounts`] of the listed engines. Two replicas
+/// with equal counts agree on which replicas share an engine's cold-start budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkingSet {
     replica: Replica,
     doublings: u32,
-    /// Has an entry for each class counted.
+    /// Contains an entry for each class that has engines.
     holder_counts: BTreeMap<EngineClass, HolderCounts>,
 }
 
@@ -68,8 +71,8 @@
         self.holder_counts.values().all(|counts| self.with_doublings(counts.effective) >= replicas)
     }
 
-    /// How this replica holds an engine; `None` where the engine is outside its working set or of a class
-    /// that was not counted.
+    /// The membership of an engine in this replica's working set; `None` where the engine is outside the set
+    /// or its class had no engines in the counts.
     pub fn membership(&self, class: EngineClass, stable_hash: u64) -> Option<Membership> {
         let counts = self.holder_counts.get(&class)?;
         let membership = Membership {
@@ -80,11 +83,12 @@
         (membership.rank < membership.holders).then_some(membership)
     }
 
-    /// The holder counts of a class, before doublings; `None` where the class was not counted.
+    /// The holder counts of a class, before doublings; `None` where the class had no engines in the counts.
     pub fn holder_counts(&self, class: EngineClass) -> Option<HolderCounts> {
         self.holder_counts.get(&class).copied()
     }
 
+    /// The number of holders after this replica's doublings, at most all replicas.
     fn with_doublings(&self, holders: usize) -> usize {
         (holders << self.doublings).min(self.replica.count.max(1) as usize)
     }
@@ -116,15 +120,16 @@
     holders_for_mean(replicas, TARGET_SET_SIZE - ANY_ZONE_SET_SIZE * elsewhere / all, in_zone)
 }
 
-/// The number of holders of each of `engines` that gives a replica `wanted` of them on average. The engine
-/// count is rounded down to a step, so that the number of holders seldom changes as engines come and go.
-fn holders_for_mean(replicas: usize, wanted: usize, engines: usize) -> usize {
+/// The number of holders of each engine with which a replica holds `mean_set_size` of `engines` on average.
+/// The engine count is rounded down to a step, so that the number of holders seldom changes as engines come
+/// and go.
+fn holders_for_mean(replicas: usize, mean_set_size: usize, engines: usize) -> usize {
     let engines = round_down_to_step(engines);
-    if engines <= wanted { replicas } else { (replicas * wanted).div_ceil(engines) }
+    if engines <= mean_set_size { replicas } else { (replicas * mean_set_size).div_ceil(engines) }
 }
 
-/// The largest value no greater than `count` among the powers of two and three steps between each two of
-/// them, which approximate quarter powers of two.
+/// Rounds `count` down to a power of two or to one of the three steps between two successive powers (see
+/// [`ROUNDING_STEPS_THOUSANDTHS`]).
 fn round_down_to_step(count: usize) -> usize {
     let Some(exponent) = count.checked_ilog2() else { return 0 };
     let steps = ROUNDING_STEPS_THOUSANDTHS.iter().map(|step| (step << exponent) / 1000);
--- a/crates/subset/tests/properties.rs
+++ b/crates/subset/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold of working sets for any engine list.
+//! Properties of working sets that hold for any engine list.
 
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
--- a/crates/zones/src/allocation.rs
+++ b/crates/zones/src/allocation.rs
@@ -13,20 +13,23 @@
 /// The inputs for one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Zone {
-    /// What its engines can serve safely, in thousandths of a core; 0 for a zone that is lost or evacuated.
+    /// The demand that its engines can serve safely, in thousandths of a core; 0 for a zone that is lost or
+    /// evacuated.
     pub capacity: u64,
     /// Demand of its clients by reservation type, in thousandths of a core.
     pub asks: Vec<u64>,
-    /// Cost of serving a job of this zone in each zone, in microseconds of crossing; 0 for the zone itself.
+    /// Cost of serving a job of this zone in each zone: the time in microseconds that crossing to that zone
+    /// takes; 0 for the zone itself.
     pub crossing: Vec<u32>,
 }
 
 /// The inputs for one reservation type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReservationType {
-    /// Billed value of one core-second, in whole units; types of less value are throttled first.
+    /// Billed value of one core-second, in whole units; demand of the types with the least value is throttled
+    /// first.
     pub value: u32,
-    /// Whether it may run in each zone (rule 6).
+    /// For each zone, whether jobs of the type may run there; a job is never served in another zone.
     pub runs_in: Vec<bool>,
 }
 
@@ -37,15 +40,15 @@
     Count,
     /// The named field is a list that does not have one entry for each zone or type.
     Length(&'static str),
-    /// The named field has a figure over [`MAX_MILLICORES`], or a value or crossing too large for exact
-    /// costs.
+    /// The named field contains a figure over [`MAX_MILLICORES`], or a value or crossing cost that is too
+    /// large for exact costs.
     TooLarge(&'static str),
 }
 
 /// Maximum of a type's value. Together with [`MAX_CROSSING_US`], it keeps the sum over all units within the
 /// integer range.
 const MAX_VALUE: u32 = 1 << 10;
-/// Maximum of a crossing, in microseconds.
+/// Maximum of a crossing cost, in microseconds.
 const MAX_CROSSING_US: u32 = 1 << 18;
 
 /// The result of [`solve`], in thousandths of a core.
@@ -107,9 +110,9 @@
     Ok(())
 }
 
-/// Decides which share of each zone's demand is served where. The largest billed value is served, so the
-/// excess is throttled from the least value up; among such allocations, the one of the least crossing cost is
-/// chosen. Ties are broken by the order of zones and types alone.
+/// Decides which share of each zone's demand is served in which zone. The solution serves the largest billed
+/// value, so that excess demand is throttled in ascending order of value; among such allocations, the one of
+/// the least crossing cost is chosen. Ties are broken by the order of zones and types alone.
 pub fn solve(zones: &[Zone], types: &[ReservationType]) -> Result<Allocation, InputError> {
     validate(zones, types)?;
     let (zone_count, type_count) = (zones.len(), types.len());
@@ -122,7 +125,7 @@
     let mut graph = Graph::new(2 + zone_count * type_count + zone_count);
     let mut serving_edges: Vec<(usize, usize, usize, EdgeId)> = Vec::new();
     let mut throttling_edges: Vec<(usize, usize, EdgeId)> = Vec::new();
-    // To throttle one unit of value costs more than any chain of moves among zones can save, so that served
+    // Throttling one unit of value costs more than any chain of moves between zones can save, so that served
     // value takes precedence over crossing cost.
     let max_crossing = zones.iter().flat_map(|zone| &zone.crossing).max().copied().unwrap_or(0);
     let cost_per_value = u64::from(max_crossing) * 2 * zone_count as u64 + 1;
--- a/crates/zones/src/flow.rs
+++ b/crates/zones/src/flow.rs
@@ -30,6 +30,7 @@
 }
 
 impl Graph {
+    /// A graph of `nodes` nodes without edges.
     pub fn new(nodes: usize) -> Self {
         Self { edges: vec![Vec::new(); nodes] }
     }
@@ -80,6 +81,8 @@
                 }
             }
             let Some(sink_distance) = distances[sink] else { return total };
+            // Capping at the sink's distance keeps the reduced costs of all residual edges non-negative, and
+            // it gives unreachable nodes a finite potential.
             for (node, distance) in distances.iter().enumerate() {
                 potential[node] += distance.unwrap_or(sink_distance).min(sink_distance);
             }
--- a/crates/zones/tests/exact.rs
+++ b/crates/zones/tests/exact.rs
@@ -1,4 +1,4 @@
-//! Checks the solver against an exhaustive search, and properties of every allocation.
+//! Compares the solver with an exhaustive search, and checks properties of every allocation.
 
 use proptest::prelude::*;
 use woadhook_zones::allocation::{
@@ -120,7 +120,7 @@
                     used[serving] += millicores;
                     prop_assert!(
                         *millicores == 0 || types[type_index].runs_in[serving],
-                        "rule 6: served in a zone where the type may not run"
+                        "demand was served in a zone where its type may not run"
                     );
                 }
             }
