--- a/crates/standins/examples/accord_scale.rs
+++ b/crates/standins/examples/accord_scale.rs
@@ -1,12 +1,14 @@
-//! Measures the traffic of agreement at each instance on the virtual network, and the time until all
-//! instances act on the first state: `cargo run --release -p woadhook-standins --example accord_scale -- 10
-//! 40 400`, where the arguments are numbers of instances. Rates are per second and instance.
+//! Measures the traffic of the accord protocol at each instance on the virtual network, and the time until
+//! all instances act on the first agreed state: `cargo run --release -p woadhook-standins --example
+//! accord_scale -- 10 40 400`, where the arguments are numbers of instances. Rates are per second and
+//! instance.
 
 use woadhook_standins::cluster::{Cluster, default_accord_config, default_gossip_config, secs};
 use woadhook_standins::net::NetworkConditions;
 
 const MEASURED_SECS: f64 = 16.0;
 
+/// For each running instance, the datagrams and bytes that it has sent.
 fn sent_counts(cluster: &Cluster) -> Vec<(u64, u64)> {
     cluster.running().map(|(_, core)| (core.counters().sent, core.counters().sent_bytes)).collect()
 }
--- a/crates/standins/examples/decisions.rs
+++ b/crates/standins/examples/decisions.rs
@@ -1,8 +1,8 @@
-//! Runs the decision module on a simulated pool and measures its processor time: `cargo run --release -p
-//! woadhook-standins --example decisions -- ENGINES JOBS SEED calm|rough`. Equal arguments give equal
-//! decisions, so two builds of the module that should decide alike print the same count and checksum. `rough`
-//! has jobs of all reservation types, bursts beyond the limit, and engines that hang, fail, answer slowly,
-//! restart, and leave the list.
+//! Runs the router's decision module on a simulated pool of engines and measures the time that it takes:
+//! `cargo run --release -p woadhook-standins --example decisions -- ENGINES JOBS SEED calm|rough`. Equal
+//! arguments give equal decisions, so two builds of the module that should decide alike print the same count
+//! and checksum. `rough` has jobs of all reservation types, bursts beyond the limit, and engines that hang,
+//! fail, answer slowly, restart, and leave the list.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,7 +14,7 @@
 use woadhook::*;
 
 const START: Moment = Moment::from_micros(1_000_000_000);
-/// A router that has just started waits for a cold-start window, so the first job arrives after that.
+/// The first job arrives after this time, as a router that has just started waits for a cold-start window.
 const FIRST_JOB: Span = Span::from_micros(3_000_000);
 const JOBS_PER_SECOND: f64 = 3_000.0;
 const TABLE_GROUPS: usize = 64;
@@ -45,7 +45,8 @@
     }
 }
 
-/// Look-ups, reports that wait for loads, ordered jobs with keys, and loads.
+/// The reservation types by index: look-ups, reports that wait for loads, jobs with order keys and a keyed
+/// effect, and loads.
 fn reservation_types() -> Vec<ReservationType> {
     let keyed = Effect::Keyed { scope: Scope::Zone, window: millis(400) };
     vec![
@@ -127,8 +128,8 @@
 ];
 const CANCELLED: usize = 5;
 
-/// The behaviour of an engine: `slowdown` multiplies the run time of its dispatches, `failure_share` of them
-/// fail.
+/// The behaviour of an engine. `slowdown` multiplies the run time of its dispatches, and the share
+/// `failure_share` of them fails.
 #[derive(Clone, Copy)]
 struct EngineModel {
     slowdown: f64,
@@ -145,8 +146,9 @@
     jobs_left: usize,
     next_job: usize,
     engines: Vec<EngineModel>,
-    /// The start of each dispatch that has not ended, by job and number.
+    /// The start of each dispatch that has not ended, by job and number of the dispatch.
     open_dispatches: BTreeMap<(usize, usize), Moment>,
+    /// The number of dispatches of each job.
     dispatches: BTreeMap<usize, usize>,
     router: Router,
     decisions: u64,
--- a/crates/standins/examples/gossip_scale.rs
+++ b/crates/standins/examples/gossip_scale.rs
@@ -9,12 +9,14 @@
 use woadhook_standins::cluster::{Cluster, default_gossip_config, secs};
 use woadhook_standins::net::NetworkConditions;
 
-/// Whether an instance is counted in the figures. One in four is not, as the churn ends and starts it.
+/// Whether an instance is counted in the figures. One instance in four is not counted, as the churn stops and
+/// starts these instances.
 fn is_counted(node: usize) -> bool {
     node % 4 != 1
 }
 
-/// Sums over the counted instances: datagrams and bytes sent, datagrams received, signatures checked.
+/// Sums over the counted instances of the datagrams and bytes sent, the datagrams received and the signatures
+/// checked.
 fn sums(cluster: &Cluster) -> [f64; 4] {
     let mut sums = [0.0; 4];
     for (_, core) in cluster.running().filter(|(node, _)| is_counted(*node)) {
@@ -42,7 +44,8 @@
     span.map_or("not in time".to_owned(), |span| format!("{:.2} s", span.secs()))
 }
 
-fn memory() -> f64 {
+/// Resident memory of this process in bytes.
+fn memory_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     statm.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
@@ -50,13 +53,13 @@
 fn main() {
     for count in std::env::args().skip(1).filter_map(|argument| argument.parse::<usize>().ok()) {
         let calm_for = if count > 1000 { secs(4.0) } else { secs(20.0) };
-        let empty = memory();
+        let empty = memory_bytes();
         let mut cluster = Cluster::new(1, count, NetworkConditions::reliable(), default_gossip_config());
         cluster.set_engines(&["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"]);
         cluster.introduce_all();
         println!(
             "## {count} instances\nheld: {:.0} KB an instance",
-            (memory() - empty) / count as f64 / 1024.0
+            (memory_bytes() - empty) / count as f64 / 1024.0
         );
         // Waits until the member records of the start have spread.
         cluster.run_for(if count > 1000 { secs(4.0) } else { secs(20.0) });
--- a/crates/standins/examples/hearsay.rs
+++ b/crates/standins/examples/hearsay.rs
@@ -1,6 +1,6 @@
-//! Measures, in the simulation, how reports of peers help a router with little traffic, and what false
-//! reports cost: `cargo run --release -p woadhook-standins --example hearsay`. Each run gives the same
-//! figures.
+//! Measures in the simulation how reports that peers send by gossip help a router with little traffic, and
+//! how much false reports cost: `cargo run --release -p woadhook-standins --example hearsay`. Each run gives
+//! the same figures.
 
 use woadhook::Span;
 use woadhook_gossip::EngineCondition;
@@ -10,9 +10,9 @@
 const SEEDS: u64 = 40;
 const ENGINE_STATES: [EngineState; 2] = [EngineState::Silent, EngineState::Dead];
 
-/// Over all seeds, for the ten seconds after an engine fails: the dispatches of the router with little
-/// traffic to that engine, its jobs that were not done, and the mean and longest time of its done jobs in
-/// milliseconds.
+/// Returns figures of the router with little traffic over all seeds, for the ten seconds after an engine
+/// fails: its dispatches to that engine, its jobs that were not done, and the mean and longest time of its
+/// done jobs in milliseconds.
 fn measure_quiet_router(rate: f64, state: EngineState, gossip: bool) -> (usize, usize, f64, f64) {
     let (mut dispatches, mut not_done, mut mean, mut longest) = (0, 0, 0.0, 0.0_f64);
     for seed in 0..SEEDS {
@@ -33,8 +33,9 @@
     (dispatches, not_done, mean, longest)
 }
 
-/// The longest time in seconds in which an engine got no dispatch, within ten seconds in which
-/// `false_reporters` members send false reports to 8 others, and the number of jobs that were not done.
+/// Returns figures of ten seconds in which `false_reporters` members send false reports to 8 others: the
+/// longest time in seconds in which an engine got no dispatch, and the number of jobs that were not done.
+/// With `flapping`, the false reports alternate between silent and well.
 fn measure_idle_time(false_reporters: usize, flapping: bool) -> (f64, usize) {
     let (mut longest_idle, mut not_done) = (0.0_f64, 0);
     for seed in 0..10 {
--- a/crates/standins/examples/listed.rs
+++ b/crates/standins/examples/listed.rs
@@ -1,5 +1,6 @@
-//! Measures what the number of listed engines costs one router: memory at rest, processor time per job and
-//! latencies, for one or more builds of the program in turns, on loopback with engines that answer at once:
+//! Measures how the number of listed engines affects one router: its memory at rest, processor time per job
+//! and latencies. One or more builds of the program are measured in turns, on loopback, with engines that
+//! answer at once:
 //! `cargo run --release -p woadhook-standins --example listed -- ROUNDS JOBS RATE COUNTS PROGRAM [OLDER]`,
 //! where COUNTS are numbers of engines such as `2,80,128`.
 
@@ -19,14 +20,13 @@
 
 const CLIENTS: usize = 8;
 const DESCRIPTORS: usize = 4_096;
-/// The wait between the start of the program and the reading of its memory at rest, which the first job
-/// follows.
+/// The wait between the start of the program and the reading of its memory at rest, before the first job.
 const SETTLE_SPAN: Duration = Duration::from_millis(1_500);
 const ENGINE_RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nX-Stats: waiting:0;cpu:0.1\r\nContent-Length: 6\r\n\r\n1\t2\t3\n";
 
-/// Starts one engine that is reached at all addresses of 127.0.0.0/8 on the returned port. One thread runs
-/// each connection as a task.
+/// Starts one engine that accepts connections at all addresses of 127.0.0.0/8 on the returned port. One
+/// thread runs all connections, each as a task.
 fn serve_engines() -> u16 {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a free port");
     let port = listener.local_addr().expect("an address").port();
@@ -106,8 +106,8 @@
     }
 }
 
-/// Runs one client. Returns its latencies in microseconds, counted from when each job was due, and the number
-/// of failed jobs.
+/// Runs one client. Returns the latency of each job in microseconds, measured from the time at which the job
+/// was due to be sent, and the number of failed jobs.
 fn run_client(address: SocketAddr, number: usize, jobs: u32, rate: f64) -> (Vec<u64>, usize) {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
@@ -141,8 +141,9 @@
     reading.join().expect("answers")
 }
 
-/// Runs one measurement: MB at rest, CPU us per job, cores in use, p50 and p99 in ms, MB after the jobs,
-/// failed jobs.
+/// Runs one measurement. Returns the memory at rest in MB, the processor time per job in microseconds, the
+/// cores in use, p50 and p99 of the latency in ms, the memory after the jobs in MB, and the number of failed
+/// jobs.
 fn run(path: &str, engines: usize, jobs: usize, rate: f64) -> [f64; 7] {
     let engines = addresses(serve_engines(), engines);
     let program = Program::start(
--- a/crates/standins/examples/scale/changes.rs
+++ b/crates/standins/examples/scale/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the engine list: an engine joins, and leaves with the next change.
+//! Changes of the engine list: one change adds an engine, and the next one removes it.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
--- a/crates/standins/examples/scale/limits.rs
+++ b/crates/standins/examples/scale/limits.rs
@@ -10,13 +10,13 @@
 /// The example and its routers may use the machine's memory divided by this.
 const MEMORY_DIVISOR: u64 = 2;
 const BYTES_IN_KB: u64 = 1024;
-/// Estimated memory in KB: of a router without engines and clients, for each of its engines and clients, and
-/// of the example itself.
+/// Estimated memory in KB of a router without engines and clients, of each engine and each client at a
+/// router, and of the example itself.
 const KB_PER_ROUTER: u64 = 16 * 1024;
 const KB_PER_ENGINE: u64 = 128;
 const KB_PER_CLIENT: u64 = 24;
 const EXAMPLE_KB: u64 = 256 * 1024;
-/// Estimated memory in KB for each pair of a member and another member that it knows.
+/// Estimated memory in KB that each member needs for each member that it knows.
 const KB_PER_KNOWN_MEMBER: u64 = 1;
 /// Descriptors of the example that are not connections.
 const OTHER_DESCRIPTORS: u64 = 200;
--- a/crates/standins/examples/scale/main.rs
+++ b/crates/standins/examples/scale/main.rs
@@ -5,15 +5,15 @@
 //! the line fitted to each measure, and its plot.
 //!
 //! Figures are for one router, the mean of all real ones. Memory, descriptors and processor time at rest are
-//! measured without jobs; processor time per job, latencies and control bytes (discovery, probes and their
-//! answers) while jobs come at the point's rate. Throughput on the axis of engines is measured while each of
-//! 128 clients sends one job after another, on the other axes at the rate. A change is in force once the last
-//! router has asked discovery for the events after it.
+//! measured without jobs; processor time per job, latencies and control bytes (of discovery, probes and their
+//! answers) are measured while clients send jobs at the point's rate. Throughput on the axis of engines is
+//! measured while each of 128 clients sends one job after another, and on the other axes at the point's rate.
+//! A change is in force once the last router has asked discovery for the events after it.
 //!
 //! Simulated routers exist only as a number in the settings and as load that engines report; they send
 //! nothing. The traffic between members is measured on the axis of members alone, where the processor time
-//! includes that of the virtual network. Latencies and throughput suffer when other work shares the
-//! processors, processor time less so.
+//! includes that of the virtual network. Other work on the same processors distorts latencies and throughput,
+//! and processor time less.
 
 mod arguments;
 mod changes;
--- a/crates/standins/examples/scale/measure.rs
+++ b/crates/standins/examples/scale/measure.rs
@@ -1,4 +1,4 @@
-//! Measures one point on loopback: real routers between lightweight clients, engines and discovery.
+//! Measures one point on loopback: real routers between clients, lightweight engines and discovery servers.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,21 +15,22 @@
 use woadhook_standins::{DiscoveryEvents, router_config};
 
 use crate::changes::{ChangePublisher, PublishedEvent};
-use crate::load::{IdleClients, Load, LoadResult};
+use crate::load::{IdleClients, JobTraffic, TrafficResult};
 use crate::process;
 use crate::setup::Setup;
 
 const LOG_LEVEL: &str = "info";
 /// The memory limit in a router's settings.
 const MEMORY_MB: u64 = 256;
-/// The wait after the start, until the work that follows a start has ended.
+/// The wait after the routers' start, in which the work that follows a start ends.
 const SETTLE_SPAN: Duration = Duration::from_millis(1_500);
-/// Together with the refresh, shorter than the time after which a router closes an idle connection.
+/// The length of the measurement without jobs. Together with the refresh before it, it is shorter than the
+/// 5 s after which a router closes an idle connection.
 const IDLE_SPAN: Duration = Duration::from_secs(3);
 const WARM_UP_SPAN: Duration = Duration::from_secs(1);
 const LOADED_SPAN: Duration = Duration::from_secs(4);
 const MAX_THROUGHPUT_SPAN: Duration = Duration::from_secs(3);
-/// The number of changes of the list where their rate is not the axis or is 0, and the pause before each.
+/// The number of changes of the list that are published when their rate is 0, and the pause before each.
 const FEW_CHANGES: usize = 5;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// A change that is not in force at all routers after this time is an error.
@@ -114,7 +115,7 @@
     }
     testbed.measure_loaded(&mut measurements)?;
     if setup.measures_max_throughput {
-        let saturated = testbed.load(None, MAX_THROUGHPUT_SPAN, 2).run(&testbed.addresses());
+        let saturated = testbed.job_traffic(None, MAX_THROUGHPUT_SPAN, 2).run(&testbed.addresses());
         report_failures(&saturated);
         measurements.insert(Measure::Throughput, throughput(&saturated));
     }
@@ -155,12 +156,12 @@
         Ok(())
     }
 
-    /// Is called right before a measurement.
+    /// Pings all idle connections. It is called right before a measurement.
     fn refresh(&mut self) -> io::Result<()> {
         self.idle_clients.iter_mut().try_for_each(IdleClients::refresh)
     }
 
-    /// Is called right after a measurement.
+    /// Prints how many idle connections were closed. It is called right after a measurement.
     fn report_closed(&self) {
         let closed_count: usize = self.idle_clients.iter().map(IdleClients::closed_count).sum();
         if closed_count > 0 {
@@ -172,12 +173,15 @@
         self.routers.iter().map(|router| router.address).collect()
     }
 
-    fn load(&self, jobs_per_s: Option<usize>, span: Duration, phase: u64) -> Load {
+    /// The jobs of one phase of the point; `phase` makes their random draws and ids differ from those of the
+    /// other phases.
+    fn job_traffic(&self, jobs_per_s: Option<usize>, span: Duration, phase: u64) -> JobTraffic {
         let connections = self.setup.active_clients;
-        Load { jobs_per_s, connections, span, seed: self.seed.wrapping_mul(4).wrapping_add(phase) }
+        JobTraffic { jobs_per_s, connections, span, seed: self.seed.wrapping_mul(4).wrapping_add(phase) }
     }
 
-    /// Measures without jobs: what a router uses, and how long a change of the list takes to be in force.
+    /// Measures without jobs: the resources that a router uses, and the time until a change of the list is in
+    /// force.
     fn measure_idle(&mut self, measurements: &mut Measurements) -> io::Result<()> {
         thread::sleep(SETTLE_SPAN);
         self.refresh()?;
@@ -194,19 +198,19 @@
         Ok(())
     }
 
-    /// Measures while jobs come at the point's rate.
+    /// Measures while clients send jobs at the point's rate.
     fn measure_loaded(&mut self, measurements: &mut Measurements) -> io::Result<()> {
         let (routers, rate) = (self.addresses(), self.setup.jobs_per_s);
-        report_failures(&self.load(Some(rate), WARM_UP_SPAN, 0).run(&routers));
-        let load = self.load(Some(rate), LOADED_SPAN, 1);
+        report_failures(&self.job_traffic(Some(rate), WARM_UP_SPAN, 0).run(&routers));
+        let traffic = self.job_traffic(Some(rate), LOADED_SPAN, 1);
         self.refresh()?;
         let before = self.sample()?;
-        let (result, _) = self.with_list_changes(|| load.run(&routers));
+        let (result, _) = self.with_list_changes(|| traffic.run(&routers));
         let after = self.sample()?;
         self.report_closed();
         report_failures(&result);
         let at = |quantile| result.latencies.value_at_quantile(quantile) as f64 / MICROS_IN_MILLI;
-        let jobs = result.served.max(1) as f64;
+        let jobs = result.done.max(1) as f64;
         measurements.insert(Measure::CpuPerJob, (after.cpu_us - before.cpu_us) / jobs);
         measurements.insert(Measure::P50, at(0.5));
         measurements.insert(Measure::P99, at(0.99));
@@ -217,7 +221,7 @@
         Ok(())
     }
 
-    /// Does `work` while the list changes at the point's rate.
+    /// Runs `work` while the list changes at the point's rate. Returns its result and the published changes.
     fn with_list_changes<T>(&mut self, work: impl FnOnce() -> T) -> (T, Vec<PublishedEvent>) {
         let (per_s, changes) = (self.setup.changes_per_s, &mut self.changes);
         let (stop, stop_receiver) = mpsc::channel::<()>();
@@ -245,6 +249,7 @@
         Ok(spans[spans.len() / 2])
     }
 
+    /// The time from the publication of a change until the last router has applied it, in milliseconds.
     fn apply_time(&self, (event, at): PublishedEvent) -> io::Result<f64> {
         let apply_moments = || {
             self.discoveries
@@ -265,7 +270,7 @@
         }
     }
 
-    /// The mean over all routers.
+    /// The mean of a figure of the process over all routers.
     fn mean(&self, read: fn(u32) -> io::Result<f64>) -> io::Result<f64> {
         Ok(self.sum(read)? / self.routers.len() as f64)
     }
@@ -303,13 +308,13 @@
     config.to_string()
 }
 
-fn throughput(result: &LoadResult) -> f64 {
-    result.served as f64 / result.duration.as_secs_f64()
+fn throughput(result: &TrafficResult) -> f64 {
+    result.done as f64 / result.duration.as_secs_f64()
 }
 
-fn report_failures(result: &LoadResult) {
-    let LoadResult { served, refused, lost, .. } = result;
-    if refused + lost > 0 {
-        eprintln!("note: {refused} jobs were refused and {lost} lost beside {served} that were served");
+fn report_failures(result: &TrafficResult) {
+    let TrafficResult { done, failed, lost, .. } = result;
+    if failed + lost > 0 {
+        eprintln!("note: {failed} jobs were refused and {lost} lost beside {done} that were served");
     }
 }
--- a/crates/standins/examples/scale/members.rs
+++ b/crates/standins/examples/scale/members.rs
@@ -13,7 +13,7 @@
 use crate::process;
 
 const ENGINES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
-/// The time until the member records of the start have spread, and the length of the measurement.
+/// The time in which the member records of the start reach all members, and the length of the measurement.
 const SETTLE_SECS: f64 = 5.0;
 const CALM_SECS: f64 = 10.0;
 /// A report that has not reached all members after this time is an error.
@@ -44,8 +44,8 @@
     Ok(measurements)
 }
 
-/// Makes the process allocate what it needs once, whatever the count, so that it is not counted at the first
-/// point.
+/// Makes the process allocate the memory that it needs once for any number of members, so that this memory is
+/// not counted at the first point.
 fn warm_up(seed: u64) {
     let mut cluster =
         Cluster::new(seed, WARM_UP_MEMBERS, NetworkConditions::reliable(), default_gossip_config());
@@ -54,6 +54,7 @@
     mem::forget(cluster);
 }
 
+/// Measures a cluster in which no member or engine changes.
 fn measure_calm(cluster: &mut Cluster, measurements: &mut Measurements) -> io::Result<()> {
     let count = cluster.running().count() as f64;
     let (before, before_us, started) = (total_bytes(cluster), process::cpu_us(id())?, Instant::now());
--- a/crates/standins/examples/scale/output.rs
+++ b/crates/standins/examples/scale/output.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Writes all files of an axis to a folder. The rows of the other axes in the file of the lines are kept.
+/// Writes all files of an axis to a folder. The rows of the other axes in the file of the fitted lines stay.
 pub fn write(axis: Axis, results: &Results, folder: &Path) -> Result<(), Box<dyn Error>> {
     fs::create_dir_all(folder)?;
     write_points(axis, results, &folder.join(format!("{}.csv", axis.name())))?;
@@ -75,7 +75,7 @@
     Ok(writer.flush()?)
 }
 
-/// The rows of the other axes in the file of the lines.
+/// The rows of the other axes in the file of the fitted lines.
 fn other_slopes(axis: Axis, file: &Path) -> Result<Vec<StringRecord>, Box<dyn Error>> {
     if !file.exists() {
         return Ok(Vec::new());
@@ -84,12 +84,12 @@
     Ok(rows.into_iter().filter(|row| row.get(0) != Some(axis.name())).collect())
 }
 
-/// One decimal place, or three for values below one.
+/// Formats a value with one decimal place, or with three if it is below one.
 fn format_value(value: f64) -> String {
     if value.abs() < 1.0 { format!("{value:.3}") } else { format!("{value:.1}") }
 }
 
-/// Six decimal places, as slopes may be far below one.
+/// Formats a figure of a line with six decimal places, as slopes may be far below one.
 fn format_slope(value: f64) -> String {
     format!("{value:.6}")
 }
--- a/crates/standins/examples/scale/results.rs
+++ b/crates/standins/examples/scale/results.rs
@@ -24,7 +24,7 @@
         self.0.keys().map(|(measure, _)| *measure).collect()
     }
 
-    /// The median and the number of runs that it is taken over.
+    /// The median of a measure at a size, and the number of runs from which it is computed.
     pub fn value(&self, measure: Measure, size: usize) -> Option<(f64, usize)> {
         let mut values = self.0.get(&(measure, size))?.clone();
         values.sort_by(f64::total_cmp);
--- a/crates/standins/examples/scale/setup.rs
+++ b/crates/standins/examples/scale/setup.rs
@@ -8,20 +8,20 @@
 const TARGET_ROUTERS: usize = 1_800;
 /// Jobs a second at each router, unless they are the axis.
 const JOBS_PER_S: usize = 250;
-/// Jobs a second on the axis of engines: a rate that a router sustains at the last point too.
+/// Jobs a second on the axis of engines: a rate that a router sustains at the largest size too.
 const ENGINE_AXIS_JOBS_PER_S: usize = 100;
 const DEFAULT_ENGINES: usize = 80;
 const MANY_ENGINES: usize = 600;
 /// Client connections that send jobs, at each router; each has one job in progress at a time.
 const ACTIVE_CLIENTS: usize = 128;
 const ACTIVE_CLIENTS_WITH_PEERS: usize = 32;
-/// The descriptor limit of each router: of a single one (`descriptors` raises it for many clients), and where
-/// several run.
+/// The descriptor limit of a router that runs alone (`descriptors` raises it for many clients), and of each
+/// router where several run.
 const DESCRIPTORS: usize = 6_000;
 const DESCRIPTORS_WITH_PEERS: usize = 1_600;
 /// A router reserves a third of its descriptors for clients.
 const CLIENT_DIVISOR: usize = 3;
-/// Clients that a router can accept beyond those of the point.
+/// The number of clients that a router can accept beyond those of the point.
 const SPARE_CLIENTS: usize = 64;
 /// The processor time of a query of a simulated router at an engine, and an engine's cores.
 const QUERY_CPU_SECS: f64 = 0.001;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setup {
     pub engines: usize,
-    /// Routers that run.
+    /// The number of routers that run as processes.
     pub routers: usize,
     /// The number of routers in the settings, with the simulated ones.
     pub replicas: usize,
@@ -41,9 +41,9 @@
     pub idle_clients: usize,
     /// Client connections that send jobs, at each router.
     pub active_clients: usize,
-    /// At each router.
+    /// Jobs a second at each router.
     pub jobs_per_s: usize,
-    /// Changes of the engine list.
+    /// Changes of the engine list a second.
     pub changes_per_s: usize,
     /// The descriptor limit of each router.
     pub descriptors: usize,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// `routers` real routers; the others of the target are simulated.
+    /// A point with `routers` real routers; the other routers of the target are simulated.
     fn with_peers(routers: usize) -> Self {
         let simulated = TARGET_ROUTERS.saturating_sub(routers);
         let queries_per_s = (simulated * JOBS_PER_S) as f64 / MANY_ENGINES as f64;
--- a/crates/standins/examples/silent_engine.rs
+++ b/crates/standins/examples/silent_engine.rs
@@ -1,6 +1,6 @@
-//! Measures how three real routers on loopback, one of which gets a tenth of the traffic, react when one of
-//! six engines stops answering, with gossip and without: `cargo run --release -p woadhook-standins --example
-//! silent_engine -- 3`, where 3 is the number of runs of each kind.
+//! Measures how three real routers on loopback, one of which gets a tenth of the traffic, react with and
+//! without gossip when one of six engines stops answering: `cargo run --release -p woadhook-standins
+//! --example silent_engine -- 3`, where 3 is the number of runs of each kind.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -20,8 +20,9 @@
     Client, DiscoveryEvents, Response, RouterThread, StandinServer, result_page, router_config,
 };
 
-const BEFORE: Duration = Duration::from_secs(5);
-const AFTER: Duration = Duration::from_secs(12);
+/// The length of the load before the engine stops answering, and after that.
+const SPAN_BEFORE_SILENCE: Duration = Duration::from_secs(5);
+const SPAN_AFTER_SILENCE: Duration = Duration::from_secs(12);
 /// Jobs a second at each router, 93 in total.
 const RATES: [f64; 3] = [42.0, 42.0, 9.0];
 
@@ -47,9 +48,9 @@
     }
 }
 
-/// Sends jobs at a rate. Returns for each job the time at which it was sent, in seconds since the start, and
-/// how long it took, or `None` if it failed.
-fn load(client: Client, rate: f64, span: Duration, started: Instant) -> Vec<(f64, Option<f64>)> {
+/// Sends jobs at a rate in jobs a second. Returns for each job the time at which it was sent, in seconds
+/// since the start, and how long it took, or `None` if it failed.
+fn send_jobs(client: Client, rate: f64, span: Duration, started: Instant) -> Vec<(f64, Option<f64>)> {
     let mut reader = Client(client.0.try_clone().expect("a connection"));
     let mut writer = client;
     let sent_at: Arc<Mutex<HashMap<u32, Instant>>> = Arc::default();
@@ -73,6 +74,9 @@
     reading.join().expect("answers")
 }
 
+/// Returns the number of dispatches to the engine after it stopped answering and, for each router, figures of
+/// the jobs sent after that: the failed jobs, the jobs that failed or took over 0.5 s, and when the last of
+/// the latter was sent, in seconds after the engine stopped answering.
 fn run(gossip: bool) -> (f64, Vec<(usize, usize, f64)>) {
     let silent = Arc::new(AtomicBool::new(false));
     let late_dispatches = Arc::new(AtomicUsize::new(0));
@@ -111,27 +115,27 @@
         .zip(RATES)
         .map(|(router, rate)| {
             let client = Client::connect(router);
-            thread::spawn(move || load(client, rate, BEFORE + AFTER, started))
+            thread::spawn(move || send_jobs(client, rate, SPAN_BEFORE_SILENCE + SPAN_AFTER_SILENCE, started))
         })
         .collect();
-    thread::sleep(BEFORE.saturating_sub(started.elapsed()));
+    thread::sleep(SPAN_BEFORE_SILENCE.saturating_sub(started.elapsed()));
     silent.store(true, Ordering::Relaxed);
     let results: Vec<Vec<(f64, Option<f64>)>> =
         loads.into_iter().map(|load| load.join().expect("a load")).collect();
-    let after = BEFORE.as_secs_f64();
+    let after = SPAN_BEFORE_SILENCE.as_secs_f64();
     let summarize = |jobs: &Vec<(f64, Option<f64>)>| {
         let after: Vec<_> = jobs.iter().filter(|(at, _)| *at >= after).collect();
         let lost = after.iter().filter(|(_, took)| took.is_none()).count();
         let slow: Vec<f64> =
             after.iter().filter(|(_, took)| took.is_none_or(|took| took > 0.5)).map(|(at, _)| *at).collect();
-        let last = slow.iter().fold(0.0, |last: f64, at| last.max(at - BEFORE.as_secs_f64()));
+        let last = slow.iter().fold(0.0, |last: f64, at| last.max(at - SPAN_BEFORE_SILENCE.as_secs_f64()));
         (lost, slow.len(), last)
     };
     (late_dispatches.load(Ordering::Relaxed) as f64, results.iter().map(summarize).collect())
 }
 
 fn main() {
-    let runs: usize = std::env::args().nth(1).and_then(|word| word.parse().ok()).unwrap_or(3);
+    let runs: usize = std::env::args().nth(1).and_then(|argument| argument.parse().ok()).unwrap_or(3);
     println!(
         "gossip | dispatches to the silent engine | router: lost, slow (over 0.5 s or lost), last slow job sent after (s)"
     );
--- a/crates/standins/examples/slow_peers.rs
+++ b/crates/standins/examples/slow_peers.rs
@@ -1,5 +1,5 @@
-//! Measures how slow clients and engines affect others: the latencies of normal clients at one router, alone
-//! and while slow peers are connected, in turns for one or more builds of the program: `cargo run --release
+//! Measures how slow clients and engines affect others: the latencies of normal clients at one router,
+//! without and with slow peers. One or more builds of the program are measured in turns: `cargo run --release
 //! -p woadhook-standins --example slow_peers -- 3 target/release/woadhook [OLDER]`, where 3 is the number of
 //! runs of each.
 
@@ -22,8 +22,9 @@
 /// Jobs a second of each normal client.
 const JOBS_PER_S: f64 = 50.0;
 
+/// The slow peers that are connected beside the normal clients. The table prints the value.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Load {
+enum SlowPeers {
     Nothing,
     SlowClients(usize),
     /// A slow client, and an engine that sends its pages slowly.
@@ -83,8 +84,8 @@
     Client(stream)
 }
 
-/// The latencies of a normal client in microseconds, counted from when each job was due. A failed job counts
-/// as 20 s, the time-out of the connection.
+/// Runs a normal client. Returns the latency of each job in microseconds, measured from the time at which the
+/// job was due to be sent. A failed job counts as 20 s, the time-out of the connection.
 fn run_normal_client(address: SocketAddr, client: usize) -> Vec<u64> {
     let phase = client as f64 / NORMAL_CLIENTS as f64;
     let mut writer = connect(address);
@@ -136,11 +137,11 @@
     }
 }
 
-fn run(path: &str, load: Load) -> (Histogram<u64>, (f64, f64, usize)) {
+fn run(path: &str, slow_peers: SlowPeers) -> (Histogram<u64>, (f64, f64, usize)) {
     let rows: &'static str = "a\tb\tc\n".repeat(500).leak();
     let engines: Vec<StandinServer> = (0..6)
         .map(|number| {
-            let is_slow = load == Load::ClientAndEngine && number == 0;
+            let is_slow = slow_peers == SlowPeers::ClientAndEngine && number == 0;
             StandinServer::start(move |call| match call.line.split(' ').next() {
                 Some("POST") if is_slow => response(200, &["X-Batches: 2"], rows),
                 Some("GET") if is_slow && call.line.contains("/1 ") => Response::InPieces(
@@ -158,10 +159,10 @@
     let program =
         Program::start(path, &router_config(&addresses, DiscoveryEvents::default().serve().address, 1024));
     let stop = Arc::new(AtomicBool::new(false));
-    let slow_clients = match load {
-        Load::Nothing => 0,
-        Load::SlowClients(count) => count,
-        Load::ClientAndEngine => 1,
+    let slow_clients = match slow_peers {
+        SlowPeers::Nothing => 0,
+        SlowPeers::SlowClients(count) => count,
+        SlowPeers::ClientAndEngine => 1,
     };
     let slow_clients: Vec<_> = (0..slow_clients)
         .map(|number| {
@@ -185,16 +186,21 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let rounds = arguments.first().and_then(|argument| argument.parse().ok()).unwrap_or(3);
-    let loads = [Load::Nothing, Load::SlowClients(1), Load::SlowClients(100), Load::ClientAndEngine];
+    let slow_peer_sets = [
+        SlowPeers::Nothing,
+        SlowPeers::SlowClients(1),
+        SlowPeers::SlowClients(100),
+        SlowPeers::ClientAndEngine,
+    ];
     let mut runs_by_program: HashMap<(usize, usize), Vec<[f64; 6]>> = HashMap::new();
     for _ in 0..rounds {
         for (program, path) in arguments.iter().skip(1).enumerate() {
-            for (load_index, load) in loads.iter().enumerate() {
-                let (histogram, (cpu, memory, descriptors)) = run(path, *load);
+            for (set_index, slow_peers) in slow_peer_sets.iter().enumerate() {
+                let (histogram, (cpu, memory, descriptors)) = run(path, *slow_peers);
                 let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
                 let jobs = histogram.len() as f64;
                 let figures = [at(0.5), at(0.99), at(0.999), cpu * 1e6 / jobs, memory, descriptors as f64];
-                runs_by_program.entry((program, load_index)).or_default().push(figures);
+                runs_by_program.entry((program, set_index)).or_default().push(figures);
             }
         }
     }
@@ -202,15 +208,15 @@
         "program | beside | p50 ms | p99 ms | p99.9 ms | CPU us a job | MB | descriptors (medians of {rounds})"
     );
     for (program, path) in arguments.iter().skip(1).enumerate() {
-        for (load_index, load) in loads.iter().enumerate() {
-            let runs = &runs_by_program[&(program, load_index)];
+        for (set_index, slow_peers) in slow_peer_sets.iter().enumerate() {
+            let runs = &runs_by_program[&(program, set_index)];
             let median = |index: usize| {
                 let mut each: Vec<f64> = runs.iter().map(|figures| figures[index]).collect();
                 each.sort_by(f64::total_cmp);
                 each[each.len() / 2]
             };
             let shown: Vec<String> = (0..6).map(|index| format!("{:.2}", median(index))).collect();
-            println!("{path} | {load:?} | {}", shown.join(" | "));
+            println!("{path} | {slow_peers:?} | {}", shown.join(" | "));
         }
     }
 }
--- a/crates/standins/examples/soak.rs
+++ b/crates/standins/examples/soak.rs
@@ -1,6 +1,6 @@
 //! Soak test: runs real routers as processes behind relays and injects faults that overlap in time. The
-//! schedule of faults is drawn from a seed, and the rules are checked on what engines and clients observed.
-//! The run ends by itself.
+//! schedule of faults is drawn from a seed. The routers' rules are checked against the calls and answers that
+//! engines and clients recorded. The run ends by itself.
 //!
 //!     cargo build --release && cargo run --release -p woadhook-standins --example soak -- --seeds 1..20
 
--- a/crates/standins/examples/wheel.rs
+++ b/crates/standins/examples/wheel.rs
@@ -13,16 +13,18 @@
 use woadhook::{Moment, Span};
 use woadhook_flow_control::timer_wheel::TimerWheel;
 
-/// Nanoseconds for each timer: of inserting it, of rescheduling it once (as a connection does with each
-/// read), and of removing it as expired, or dropping it.
+/// The nanoseconds per timer that it takes to insert it, to reschedule it once (as a connection does with
+/// each read), and to remove it as expired or to drop it.
 type Figures = [f64; 3];
 type Benchmark = fn(&[u64], &[u64]) -> Figures;
 
+/// Random deadlines in microseconds.
 fn deadlines(count: usize, seed: u64) -> Vec<u64> {
     let mut rng = Pcg32::seed_from_u64(seed);
     (0..count).map(|_| rng.random_range(1_000..60_000_000)).collect()
 }
 
+/// Runs `work` on `count` timers and returns the nanoseconds per timer.
 fn nanos_each(count: usize, work: impl FnOnce()) -> f64 {
     let started = Instant::now();
     work();
@@ -33,7 +35,7 @@
     Moment::from_micros(micros)
 }
 
-fn wheel(first: &[u64], second: &[u64]) -> Figures {
+fn measure_wheel(first: &[u64], second: &[u64]) -> Figures {
     let (count, mut wheel) = (first.len(), TimerWheel::new(moment(0), Span::from_micros(1_000)));
     let mut keys = Vec::with_capacity(count);
     let start = nanos_each(count, || {
@@ -55,7 +57,7 @@
     [start, moved, end]
 }
 
-fn heap(first: &[u64], second: &[u64]) -> Figures {
+fn measure_heap(first: &[u64], second: &[u64]) -> Figures {
     let (count, mut heap, mut stale) = (first.len(), BinaryHeap::new(), HashSet::new());
     let start = nanos_each(count, || {
         heap.extend(first.iter().enumerate().map(|(id, deadline)| Reverse((*deadline, id))))
@@ -74,7 +76,7 @@
     [start, moved, end]
 }
 
-fn map(first: &[u64], second: &[u64]) -> Figures {
+fn measure_map(first: &[u64], second: &[u64]) -> Figures {
     let (count, mut map) = (first.len(), BTreeMap::new());
     let start = nanos_each(count, || {
         map.extend(first.iter().enumerate().map(|(id, deadline)| ((*deadline, id), id)))
@@ -89,7 +91,7 @@
     [start, moved, end]
 }
 
-fn executor(first: &[u64], second: &[u64]) -> Figures {
+fn measure_executor(first: &[u64], second: &[u64]) -> Figures {
     let count = first.len();
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
     let mut timers: Vec<Timer> = Vec::with_capacity(count);
@@ -117,8 +119,12 @@
 fn main() {
     println!("timers | what | start ns | move ns | end ns (median of 5)");
     for count in [1_000, 10_000, 100_000, 1_000_000] {
-        let implementations: [(&str, Benchmark); 4] =
-            [("wheel", wheel), ("binary heap", heap), ("ordered map", map), ("executor's", executor)];
+        let implementations: [(&str, Benchmark); 4] = [
+            ("wheel", measure_wheel),
+            ("binary heap", measure_heap),
+            ("ordered map", measure_map),
+            ("executor's", measure_executor),
+        ];
         for (name, benchmark) in implementations {
             let (first, second) = (deadlines(count, 1), deadlines(count, 2));
             let mut runs: Vec<Figures> = (0..5).map(|_| benchmark(&first, &second)).collect();
--- a/crates/standins/tests/capacity/checks.rs
+++ b/crates/standins/tests/capacity/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of each row of the page, and of the page as a whole.
+//! Checks each row of the page, and the page as a whole.
 
 use std::fmt;
 
@@ -129,7 +129,8 @@
         size.map(|size| size.value).ok_or_else(|| Problem::UnknownSize(name.to_owned()))
     }
 
-    /// A size is given, assumed or a setting, or it is the sum, quotient or product of two others.
+    /// Checks the value of a size that is the sum, quotient or product of two others. Any other size must be
+    /// marked as given, assumed or a setting.
     fn check_size_definition(&self, size: &Size) -> Result<(), Problem> {
         let text = size.formula.as_str();
         if let Some((one, other)) = text.split_once(" + ") {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// The fixed part of a sum is the largest fixed part of its rows and is counted once.
+    /// Checks a sum of rows: its fixed part is the largest fixed part of the rows and is counted once.
     fn check_sum(&self, row: &Row, parts: &[String]) -> Result<(), Problem> {
         let (mut total_growth, mut largest) = (0.0, f64::MIN);
         for part in parts {
@@ -226,8 +227,8 @@
         if is_listed { Ok(()) } else { Err(Problem::UnknownLimit { value, unit: row.unit.clone() }) }
     }
 
-    /// A mechanism is named with its files between backticks, or is marked as missing. A row over its limit
-    /// must name the mechanism that is missing.
+    /// Checks that a row names its mechanism with its files between backticks, or marks it as missing. A row
+    /// over its limit must name the mechanism that is missing.
     fn check_mechanism(&self, row: &Row) -> Result<(), Problem> {
         let names_missing =
             row.mechanism.split_once(MISSING_MARK).is_some_and(|(_, what)| !what.trim().is_empty());
@@ -282,7 +283,8 @@
         self.check_command(axis)
     }
 
-    /// The figures 0 and 1 need no record: they mean no fixed part, and a slope of one per unit.
+    /// Checks that the section below the heading contains the row's figures. The figures 0 and 1 need no
+    /// record: they mean no fixed part, and a slope of one per unit.
     fn check_results(&self, row: &Row, heading: &str) -> Result<(), Problem> {
         let section =
             self.record.section(heading).ok_or_else(|| Problem::UnknownHeading(heading.to_owned()))?;
--- a/crates/standins/tests/capacity/main.rs
+++ b/crates/standins/tests/capacity/main.rs
@@ -113,8 +113,8 @@
     assert!(gaps.is_empty(), "{} gaps:\n{}", gaps.len(), format_faults(&gaps));
 }
 
-/// Raises the value at the target by a fiftieth, in one row after another; this value depends on all other
-/// figures of the row.
+/// Guards against checks that skip a row: raises the value at the target by a fiftieth in one row after
+/// another. This value depends on all other figures of the row.
 #[test]
 fn a_changed_figure_in_any_row_of_the_page_is_found() {
     const AT_TARGET_COLUMN: usize = 9;
--- a/crates/standins/tests/capacity/page.rs
+++ b/crates/standins/tests/capacity/page.rs
@@ -65,7 +65,7 @@
         axis: String,
         measure: String,
     },
-    /// The slope is a value of `docs/capacity/AXIS.csv`.
+    /// The slope is the value of a measured point in `docs/capacity/AXIS.csv`.
     Point {
         axis: String,
         size: f64,
@@ -73,11 +73,11 @@
     },
     /// The slope is the value of another row at the target.
     Row(String),
-    /// The sum of other rows at the target, with the fixed part counted once.
+    /// The row is the sum of other rows at the target, with the fixed part counted once.
     Sum(Vec<String>),
     /// The figures are recorded under this heading of `docs/results.md`.
     Results(String),
-    /// A constant of a source file, or another name that the file contains.
+    /// The figures come from a constant of a source file, or from another name that the file contains.
     Code {
         file: String,
         name: String,
@@ -92,17 +92,23 @@
 /// One line of a capacity table. Figures are `None` where the page shows a dash.
 #[derive(Clone, Debug)]
 pub struct Row {
+    /// The role or the failure.
     pub subject: String,
     pub kind: Kind,
+    /// The quantity that the figures describe; with the subject, it names the row.
     pub what: String,
+    /// The increase per unit of the size.
     pub slope: Option<f64>,
     pub unit: String,
+    /// The size at the target.
     pub size: Option<f64>,
     pub size_name: String,
+    /// The part that does not grow with the size.
     pub fixed: Option<f64>,
     pub at_target: Option<f64>,
     pub limit: Option<f64>,
     pub verdict: Verdict,
+    /// What keeps the figure within its limit, or which mechanism is missing.
     pub mechanism: String,
     pub source: Source,
 }
--- a/crates/standins/tests/capacity/record.rs
+++ b/crates/standins/tests/capacity/record.rs
@@ -59,9 +59,9 @@
 }
 
 /// Whether a text contains a figure as a number of its own, not as a part of another one.
-pub fn contains_number(text: &str, wanted: f64) -> bool {
+pub fn contains_number(text: &str, figure: f64) -> bool {
     let parts = text.split(|c: char| !(c.is_ascii_digit() || c == '.' || c == ','));
-    parts.filter_map(|part| parse_number(part.trim_matches([',', '.']))).any(|number| number == wanted)
+    parts.filter_map(|part| parse_number(part.trim_matches([',', '.']))).any(|number| number == figure)
 }
 
 /// The lines of a CSV file without quotes; the first line names the columns.
--- a/crates/standins/tests/relays.rs
+++ b/crates/standins/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Tests of the relays on which the scenario tests rely: the relays apply exactly the faults that are set.
+//! Tests of the relays, on which the scenario tests rely: the relays apply exactly the faults that are set.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -129,7 +129,7 @@
     assert_eq!(sockets[1].recv_from(&mut bytes).unwrap(), (1, relay_addresses[0]));
     relays.set_ways([(EndpointSet::zone("z0"), EndpointSet::zone("z1"), Way::CUT)]);
     sockets[0].send_to(b"2", relay_addresses[1]).unwrap();
-    assert!(sockets[1].recv_from(&mut bytes).is_err(), "lost");
+    assert!(sockets[1].recv_from(&mut bytes).is_err(), "the datagram is lost across the cut");
     sockets[1].send_to(b"3", relay_addresses[0]).unwrap();
     assert_eq!(
         sockets[0].recv_from(&mut bytes).unwrap().1,
@@ -140,14 +140,14 @@
     assert!(sockets[1].recv_from(&mut bytes).is_err(), "a lost datagram is not delivered later");
     relays.set_ways([(EndpointSet::All, EndpointSet::All, Way { twice: 1.0, ..Way::default() })]);
     sockets[0].send_to(b"4", relay_addresses[1]).unwrap();
-    assert!((0..2).all(|_| sockets[1].recv_from(&mut bytes).is_ok()), "delivered twice");
+    assert!((0..2).all(|_| sockets[1].recv_from(&mut bytes).is_ok()), "the datagram is delivered twice");
     let unknown_socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     unknown_socket.send_to(b"5", relay_addresses[1]).unwrap();
     assert!(sockets[1].recv_from(&mut bytes).is_err(), "a sender that is not a party is ignored");
 }
 
-/// Guards against calls to a refusing party that reach another one: the system frees a port that it chose
-/// itself as soon as the listener is shut down.
+/// Guards against connections to a party that refuses them which reach another party: the system frees a port
+/// that it chose itself as soon as the listener is shut down.
 #[test]
 fn the_port_of_a_refusing_party_stays_reserved() {
     let (relays, relay_address) = start_echo_server_behind_relays();
@@ -157,8 +157,8 @@
     assert!(TcpListener::bind(relay_address).is_err(), "another listener got the port");
 }
 
-/// Guards against a pause of the relays that is mistaken for one of the router: what passes the relays
-/// meanwhile arrives later than it was sent.
+/// Guards against a pause of the relays that is mistaken for a pause of a router: bytes that pass the relays
+/// during the pause arrive late.
 #[test]
 fn a_pause_of_the_relay_thread_is_recorded() {
     let (relays, relay_address) = start_echo_server_behind_relays();
@@ -179,7 +179,7 @@
     }
 }
 
-/// Guards against a router of a scenario that can't listen: the address for its datagrams was free when it
+/// Guards against a router in a scenario that can't listen: the address for its datagrams was free when it
 /// was chosen, but a relay or another test had taken it by the time the router started.
 #[test]
 fn a_free_datagram_address_stays_reserved_until_it_is_used() {
