--- a/crates/router/src/backends/sql/doubt.rs
+++ b/crates/router/src/backends/sql/doubt.rs
@@ -14,7 +14,7 @@
     cause: Cell<Option<Cause>>,
     /// Whether the query was given up.
     is_given_up: Cell<bool>,
-    /// Whether the engine refused a connection.
+    /// Whether the engine refused a connection. This is not the engine declining the query.
     is_refused: Cell<bool>,
     /// Whether the process that answers at the engine's address may be another one than the process that has
     /// the query.
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Records that another process than the one that has the query may answer at the engine's address from
-    /// now on, so that errors from there no longer prove the query's end.
+    /// Records that from now on another process may answer at the engine's address instead of the process
+    /// that has the query. Errors from that address then no longer prove the query's end.
     pub fn record_another_process(&self) {
         self.may_be_another_process.set(true);
     }
@@ -106,7 +106,7 @@
         self.cause.get().is_some()
     }
 
-    /// Whether the engine refused a connection.
+    /// Whether the engine refused a connection, as opposed to declining the query.
     pub fn is_refused(&self) -> bool {
         self.is_refused.get()
     }
--- a/crates/router/src/backends/sql/give_up.rs
+++ b/crates/router/src/backends/sql/give_up.rs
@@ -47,9 +47,10 @@
     /// Gives up a query over the connection that carried its POST, once the call under way there is answered.
     /// Threat: a draining engine closes its port and continues to run its queries, so that a call over a new
     /// connection is refused, or reaches another process that now has the port and confirms the end of a
-    /// query that it never had. Cost: the order key of a query that is given up waits for one poll, at most
-    /// 250 ms at a healthy engine; if that connection is gone, it waits for the query's expiry. Nothing is
-    /// done for a POST that was not written completely, as no engine runs its query while bytes are missing.
+    /// query that it never had. Each time, the defence costs a delay: the order key of the query waits for
+    /// one poll, at most 250 ms at a healthy engine, or for the query's expiry if that connection is gone.
+    /// Nothing is done for a POST that was not written completely, as no engine runs its query while bytes
+    /// are missing.
     pub async fn give_up_over_post_connection(&self, work: Pin<&mut impl Future<Output = QueryEnd>>) {
         if self.is_posted.get() {
             self.give_up_requested.set(true);
@@ -103,10 +104,10 @@
     /// Threat: a port that refuses connections shows that no query begins there, not that an earlier one has
     /// ended, because a draining engine closes its port and continues to run its queries until it ends, some
     /// time after it is listed as gone; a process that was restarted, or that took over the port of another,
-    /// does not know the query. The next query of the same key would run beside it. This also covers engines
-    /// that are listed as gone before they have ended. Cost: after a reset, or with an engine that fails, the
-    /// key waits for the rest of the expiry; after a crash, for the whole deadline of the first query, or
-    /// until the engine is listed as gone or answers again.
+    /// does not know the query. The next query of the same key would run beside it. The wait for the expiry
+    /// also covers engines that are listed as gone before they have ended. The defence costs a delay: after a
+    /// reset, or with an engine that fails, the key waits for the rest of the expiry; after a crash, it waits
+    /// for the whole deadline of the first query, or until the engine is listed as gone or answers again.
     pub async fn settle(&self) -> Settlement {
         if self.doubt.has_ended() {
             return Settlement::Confirmed;
--- a/crates/router/src/backends/sql/handle.rs
+++ b/crates/router/src/backends/sql/handle.rs
@@ -123,8 +123,8 @@
         Ok(200) => Outcome::Done,
         Ok(503) => Outcome::TurnedAway,
         Ok(_) => Outcome::Error,
-        // A failure on this machine says nothing about the engine. Threat: one short failure here would set
-        // all engines aside at once.
+        // A failure on this machine is no evidence of a fault at the engine. Threat: one short failure here
+        // would set all engines aside at once.
         Err(CallError::NoDescriptor | CallError::Local(_)) => Outcome::NotIssued,
         Err(CallError::Refused) => Outcome::NotConnected,
         Err(CallError::NoConnectionInTime | CallError::NoAnswerInTime | CallError::TooSlow(_)) => {
--- a/crates/router/src/backends/sql/query.rs
+++ b/crates/router/src/backends/sql/query.rs
@@ -42,10 +42,11 @@
 /// Number of malformed answers in a row after which no valid one is expected.
 const MAX_MALFORMED_ANSWERS: usize = 8;
 
-/// Sends the notifications about one dispatch to the dispatcher, whatever happens to the dispatch's task: one
-/// of its end and, if its order key is in doubt because the query may still run, one that the query has
-/// certainly ended. Threat: a task that panics would leave its job without an end, or let the next job of the
-/// same key run beside it. Cost: if the fault repeats, the query is given up again once every
+/// Sends the notifications about one dispatch to the dispatcher, whatever happens to the dispatch's task. The
+/// first reports that the dispatch ended. If the query may still run and the dispatch has an order key, a
+/// second one reports that the query has certainly ended. Threat: after a panic of the task, the dispatcher
+/// would wait forever for the end of the dispatch, or the next job of the same key would run beside the
+/// query. If the fault repeats, this defence costs another attempt to give the query up once every
 /// `SETTLE_INTERVAL`.
 struct EndNotifier {
     query: Rc<Query>,
@@ -132,7 +133,7 @@
 #[derive(Default)]
 struct CallAnswer {
     status: u16,
-    /// Whether the engine declined the query: it states that it never ran it.
+    /// Whether the engine declined the query, which states that it never ran the query.
     declined: bool,
     /// The number of pages of the result, and the page that this answer carries.
     pages: usize,
@@ -162,7 +163,8 @@
     });
     let mut notifier = EndNotifier::new(query.clone());
     let mut work = std::pin::pin!(query.work());
-    let end = async { Ok(work.as_mut().await) }.or(async { Err(query.wait_for_stop().await) }).await;
+    let end =
+        async { Ok(work.as_mut().await) }.or(async { Err(query.send_priorities_until_stop().await) }).await;
     if !query.has_begun.get() && !query.dispatch.statement.client.is_waiting() {
         let _ = query.events.send(Event::JobAbandoned { job: query.dispatch.job }).await;
     }
@@ -174,8 +176,9 @@
         Err(_) if !query.has_begun.get() => (Outcome::NotIssued, None, None),
         Err(outcome) => {
             query.give_up().await;
-            // A DELETE names the job's id, and a job that is still wanted may be sent to the engine again
-            // once the dispatcher is notified.
+            // A DELETE names the job's id, not the dispatch. Once the dispatcher is notified, a job whose
+            // client still waits may be sent to the engine again, and a DELETE sent later would give up the
+            // new query. After the notification, a DELETE is sent only for a query with an order key.
             let may_be_sent_again =
                 query.dispatch.order_key.is_some() && query.dispatch.statement.client.is_waiting();
             if query.doubt.is_refused() || may_be_sent_again {
@@ -228,8 +231,9 @@
             200 => Ok((answer.actual_cost, self.collect_pages(answer, connection).await?)),
             // A declined answer proves that the query never ran only if it came over the connection that
             // carried the POST. Threat: the engine runs the query, but another process now has its port and
-            // declines it, and a job that must not run twice would be sent again. Cost: such a job fails if
-            // the engine itself declined it over a later connection.
+            // declines it, and a job that must not run twice would be sent again. This defence makes such a
+            // job fail if the engine itself declined it over a later connection. `TurnedAway` is the outcome
+            // of a declined query.
             503 | 504 if self.on_post_connection.get() => Err(Outcome::TurnedAway),
             _ => Err(Outcome::Error),
         }
@@ -238,8 +242,8 @@
     /// Records that the engine reported the end of the query. Threat: a draining engine closes its port and
     /// continues to run its queries; a process that takes over the port does not know the query and answers
     /// with an error, which does not mean that the query has ended. Only a result can come from no other
-    /// process than the engine that produced it. Cost: if an engine fails and the connection of the POST is
-    /// gone, the key waits for the query's expiry.
+    /// process than the engine that produced it. If an engine fails and the connection of the POST is gone,
+    /// the defence costs a delay: the key waits for the query's expiry.
     fn record_end(&self, status: u16) {
         if self.on_post_connection.get() {
             self.doubt.record_end();
@@ -266,10 +270,12 @@
                     pause = pause.mul_f64(2.0).min(MAX_CONNECT_PAUSE);
                     continue;
                 }
-                // A failure on this machine says nothing about the engine, which is not set aside for it.
+                // A failure on this machine is no evidence of a fault at the engine, so the engine is not set
+                // aside.
                 Err(CallError::Local(_)) => return Err(Outcome::NotIssued),
                 Err(_) => return Err(Outcome::NotConnected),
             };
+            // The engine list may be out of date. Wait for a fresh one, up to a maximum time.
             if self.engine.context.freshness.is_stale() {
                 drop(connection);
                 self.engine.context.freshness.wait_until_fresh().await;
@@ -323,6 +329,7 @@
         if self.dispatch.statement.client.is_waiting() { Ok(()) } else { Err(Refusal::ClientGone) }
     }
 
+    /// The present conditions. An engine is open unless it has been reported as draining or as gone.
     fn send_conditions(&self) -> SendConditions {
         SendConditions {
             now: self.now(),
@@ -341,10 +348,10 @@
         }
     }
 
-    /// Polls the query (page 0) or requests a page. It repeats the call on another connection if one breaks,
-    /// stays silent or returns something malformed, because the engine gives the same answer again. An engine
-    /// counts as running for as long as it answers at all, so that faults of single connections are not taken
-    /// for its end.
+    /// Polls the query (page 0) or requests a page. The call is repeated on another connection if one breaks,
+    /// carries no answer in time or carries a malformed one, because the engine gives the same answer again.
+    /// An engine counts as running for as long as it answers at all, so that faults of single
+    /// connections are not taken for the end of the engine.
     async fn request_page(
         &self, page: usize, mut connection: Option<PooledConnection>,
     ) -> Result<(CallAnswer, PooledConnection), Outcome> {
@@ -376,7 +383,8 @@
                         Err(CallError::TooSlow(figures)) => {
                             slow_pages += 1;
                             let at = self.engine.address;
-                            // `engine_crawls`: the engine sent a page below the minimum rate.
+                            // The event `engine_crawls` means that the engine sent a page below the minimum
+                            // rate.
                             log::debug!(event = "engine_crawls", engine:% = at, page; "engine {at}: page {page} is too slow: {figures}");
                             self.last_answer.set(self.now());
                             continue;
@@ -397,6 +405,7 @@
                     self.doubt.record_break(&CallError::Refused);
                     return Err(Outcome::Reset);
                 }
+                // The log key `what` states here that there was no connection for the poll or the request.
                 Err(error) => self.log_no_answer("no connection to ask over", &error),
             }
             if self.now().since(self.last_answer.get()) > POLL_EXPIRY {
@@ -538,7 +547,8 @@
     }
 
     /// Sends new priorities to the engine until the job's deadline passes or the dispatch is cancelled.
-    async fn wait_for_stop(&self) -> Outcome {
+    /// Returns `TimedOut` or `Cancelled` accordingly.
+    async fn send_priorities_until_stop(&self) -> Outcome {
         let late = async {
             self.engine.context.clock.sleep_until(self.dispatch.deadline).await;
             Outcome::TimedOut
@@ -560,8 +570,9 @@
         late.or(cancelled).await
     }
 
-    /// Logs that a call got no answer (event `unheard`). `what` names the call in the log line, such as
-    /// "asked" for a poll or the request of a page, or "deleted" for a DELETE.
+    /// Logs that a call got no answer. The event `unheard` means that the router received no answer. `what`
+    /// names the call in the log line, such as "asked" for a poll or the request of a page, or "deleted" for
+    /// a DELETE.
     pub fn log_no_answer(&self, what: &str, error: &CallError) {
         let (job, number) = (&self.dispatch.statement.id, self.dispatch.number);
         log::debug!(event = "unheard", job = job.as_str(), number, what; "{what}: {error}");
--- a/crates/router/src/discovery/calls.rs
+++ b/crates/router/src/discovery/calls.rs
@@ -43,8 +43,8 @@
 /// The calls under way, the oldest first.
 pub struct Calls<T, E> {
     pending: Vec<PendingCall<T, E>>,
-    /// Calls to earlier addresses. An answer to one of them is returned like any other; one that fails is
-    /// dropped, and one that is late makes no other call due.
+    /// Calls to earlier addresses. Their answers are returned like those of other calls. A former call that
+    /// fails is dropped, and [`due`](Self::due) does not count former calls, however late they are.
     former: Vec<PendingCall<T, E>>,
 }
 
@@ -54,29 +54,31 @@
     }
 
     /// Returns when one more call is due, if any is under way. Threat: a connection goes silent while it
-    /// should carry a notice that an engine drains, or can't be established; so one more call is due an
-    /// interval after the youngest. If more than `backoff_threshold` requests were written and none was
-    /// answered, discovery itself is overloaded, and each further call would add to the load: the interval
-    /// doubles with each.
+    /// should carry a notice that an engine drains, or can't be established. So one more call is due one
+    /// interval after the youngest call began. If more than `backoff_threshold` requests were written and
+    /// none was answered, discovery itself is overloaded, and each further call would add to the load. So the
+    /// interval doubles with each written request above the threshold.
     pub fn due(&self, interval: Span, backoff_threshold: usize) -> Option<Moment> {
         let written = self.pending.iter().filter(|call| call.is_written.get()).count();
         let intervals = f64::from(1 << written.saturating_sub(backoff_threshold));
         self.pending.last().map(|youngest| youngest.began + interval.mul_f64(intervals))
     }
 
-    /// Adds a call. If there are too many, the call whose neighbours are closest to it in age is dropped: the
-    /// ages of those that remain are spread from the newest to the oldest, so that an answer is received
-    /// however late discovery answers, even if some connections stay silent forever.
+    /// Adds a call. If there are too many, the call is dropped whose next older and next younger calls have
+    /// the smallest ratio of ages. The ages of those that remain are spread from the newest to the oldest, so
+    /// that an answer is received however late discovery answers, even if some connections stay silent
+    /// forever.
     pub fn start(&mut self, began: Moment, is_written: RequestWritten, call: Call<T, E>) {
         self.pending.push(PendingCall { began, is_written, call });
         if self.pending.len() > MAX_CALLS {
-            let spread = |index: &usize| {
+            let neighbour_age_ratio = |index: &usize| {
                 let age = |index: usize| began.since(self.pending[index].began).secs();
                 age(index - 1) / age(index + 1).max(Span::from_micros(1).secs())
             };
             let candidates = 1..self.pending.len() - 1;
-            let most_redundant =
-                candidates.min_by(|a, b| spread(a).total_cmp(&spread(b))).expect("more than two");
+            let most_redundant = candidates
+                .min_by(|a, b| neighbour_age_ratio(a).total_cmp(&neighbour_age_ratio(b)))
+                .expect("more than two");
             drop(self.pending.remove(most_redundant));
         }
     }
@@ -114,9 +116,9 @@
         Poll::Pending
     }
 
-    /// Records that calls go to another address from now on. Threat: discovery moves several times in a row,
-    /// each time while a late answer that would have reported a change is still pending. The youngest calls
-    /// to the old addresses are kept until they are answered.
+    /// Records that discovery has another address and that calls go there from now on. Threat: the address
+    /// changes several times in a row, each time while a late answer that would have reported a change is
+    /// still pending. The youngest calls to the old addresses are kept until they are answered.
     pub fn moved(&mut self) {
         self.former.append(&mut self.pending);
         let excess = self.former.len().saturating_sub(MAX_FORMER_CALLS);
@@ -148,8 +150,9 @@
 
     /// Returns the interval between calls. Threat: discovery answers a call late, with the events that it
     /// knew when the call arrived. A later change is then received only with the answer to the next call, one
-    /// interval and one response time later. Cost: if discovery is late because it is overloaded, it receives
-    /// up to the maximum number of concurrent calls. If even these could not keep the time limit, the
+    /// interval and one response time later. So the interval shrinks as the response time grows. If discovery
+    /// is late because it is overloaded, this defence costs it further load, up to `MAX_CALLS` concurrent
+    /// calls. If even `MAX_CALLS` concurrent calls could not deliver a change within `max_delay`, the
     /// interval is the usual one.
     pub fn interval(&self) -> Span {
         let max_interval = self.max_delay.saturating_sub(self.response_time);
--- a/crates/router/src/frontends/rpc/connections.rs
+++ b/crates/router/src/frontends/rpc/connections.rs
@@ -12,8 +12,9 @@
 use crate::clock::{Clock, sleep};
 use crate::sockets::{PendingInput, Socket};
 
-/// How long a request that is on its way may take to arrive, counted from the accept of a connection that
-/// arrives while the router stops, or from the last bytes of the request.
+/// How long the router waits for a request that may still arrive before it closes a connection. While the
+/// router stops, a connection stays open for at least this long after its accept. A connection on which part
+/// of a request was received stays open for at least this long after the last bytes.
 const MAX_ARRIVAL_DELAY: Span = Span::from_micros(100_000);
 
 /// The accepted connections; each is removed as it ends.
@@ -44,9 +45,9 @@
 }
 
 impl ClientConnection {
-    /// Whether the connection can be closed now. A request that waits in the socket would be lost, because
-    /// clients repeat only requests that were still in transit when the router closed the connection; so
-    /// would a request that is just arriving. Callers check this right before the close, with no await in
+    /// Whether the connection can be closed now. It can't while a request waits in the socket or has arrived
+    /// in part: such a request would be lost, because clients repeat only requests that were still in transit
+    /// when the router closed the connection. Callers check this right before the close, with no await in
     /// between.
     pub fn can_close(&self, now: Moment) -> bool {
         let unread = |socket: Rc<Socket>| matches!(socket.peek(), PendingInput::Bytes);
@@ -121,8 +122,9 @@
     }
 
     /// Asks the connection that has been idle longest, of those that can be closed, to close. Threat:
-    /// connections that are held forever, or opened by the hundreds, would keep ordinary clients out. Cost: a
-    /// client may have to open a new connection.
+    /// connections that are held forever, or opened by the hundreds, would keep ordinary clients out. When
+    /// descriptors are short, this defence costs an idle client its connection, and the client has to open a
+    /// new one.
     pub fn close_idlest(&self, now: Moment) {
         let connections = self.0.all.borrow();
         let mut candidates: Vec<_> =
--- a/crates/router/src/frontends/rpc/front.rs
+++ b/crates/router/src/frontends/rpc/front.rs
@@ -203,7 +203,7 @@
     NumberNotNew,
     /// A message exceeds the maximum length.
     TooLong,
-    /// A message arrived too slowly; with the measured rate.
+    /// A message arrived too slowly. The text states the measured rate.
     TooSlow(String),
     /// No memory became free in time for a message.
     NoRoom,
@@ -214,7 +214,8 @@
 impl ReadEnd {
     /// Whether the client may still read answers to its earlier requests, and distinguish them. Threat: a
     /// request that was accepted would not be answered because the data after it was malformed or never
-    /// arrived completely. Cost: the connection may hold a descriptor until these requests are answered.
+    /// arrived completely. The defence costs a descriptor, which the connection holds until these requests
+    /// are answered.
     fn leaves_answers_owed(&self) -> bool {
         matches!(self, Self::Malformed | Self::TooLong | Self::TooSlow(_) | Self::NoRoom)
     }
@@ -300,7 +301,7 @@
     immediate_permits: Arc<Semaphore>,
     outbox: Sender<Box<Outgoing>>,
     connection: Rc<ClientConnection>,
-    /// Number of the last request. Numbers must rise, so that no two answers can be confused.
+    /// Number of the last request. Numbers must increase, so that no two answers can be confused.
     last_number: Cell<u32>,
     arrivals: ArrivalTimes,
     /// How many immediate answers may be given before reading is delayed, and when that was computed.
