--- a/crates/gossip/src/engine_events.rs
+++ b/crates/gossip/src/engine_events.rs
@@ -22,7 +22,7 @@
         self.own_observations.set_engines(engines.iter().map(|(name, _)| name.as_str()));
     }
 
-    /// Records that the decision module set an engine aside (silent, reset) or took it back (well).
+    /// Records that the decision module set an engine aside (silent, reset) or returned it to use (well).
     pub fn engine_judged(&mut self, now: Moment, engine: &str, condition: EngineCondition) {
         if let Some(observation) = self.own_observations.engine_judged(now, engine, condition) {
             self.publish_observation(now, observation);
--- a/crates/gossip/src/instance.rs
+++ b/crates/gossip/src/instance.rs
@@ -143,7 +143,8 @@
     pub received: u64,
     pub received_bytes: u64,
     pub signature_checks: u64,
-    /// Datagrams of another protocol, version, cluster or receiver, or malformed ones.
+    /// Datagrams of another protocol, version, cluster or receiver, malformed ones, and datagrams with this
+    /// instance's own record.
     pub foreign: u64,
     /// Datagrams that are too old or whose timestamp is too far ahead.
     pub bad_timestamp: u64,
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -16,7 +16,8 @@
 pub const MIN_REPORTERS: usize = 3;
 /// Observations per second, and separately failure reports per second, that are accepted from one member.
 const ITEMS_PER_S: f64 = 4.0;
-/// The time over which such a budget accumulates while it is not used.
+/// The time over which the budget of observations, or that of failure reports, accumulates while it is not
+/// used.
 const ITEMS_BURST: Span = Span::from_micros(8_000_000);
 /// Observations of a member with less credit are ignored. A contradicted observation halves the credit, so
 /// full credit falls below this after four in a row.
@@ -75,13 +76,15 @@
 
 /// A known member, with its latest record and its state.
 pub struct Member {
+    /// The latest record. It contains the member's pass: the operator's signed admission of the member's key
+    /// to the cluster for a period of time.
     pub record: Rc<MemberRecord>,
     pub state: State,
     /// The hash of the member's name. Two keys with the same name count as one reporter.
     pub name_hash: u64,
     pub replay_window: ReplayWindow,
-    /// Whether the member's address returned the id of a datagram, which only a receiver at that address can
-    /// know.
+    /// Whether the member replied from its address with the id of a datagram that was sent there. Only a
+    /// process that receives at that address can know the id.
     pub address_verified: bool,
     /// When the last fresh datagram arrived from the member itself.
     pub last_contact: Option<Moment>,
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Returns whether the member counts as running, which a suspect still does.
+    /// Returns whether the member counts as running. A suspect still does.
     pub fn is_live(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect { .. })
     }
@@ -151,6 +154,7 @@
     Back,
     /// A suspect proved that it is live.
     Refuted,
+    /// A live member that is no suspect has a newer record.
     Renewed,
     Left,
     /// The table is full of live members.
@@ -348,6 +352,7 @@
         let Some(reporter) = self.members.get(&report.reporter) else { return false };
         let already_counted = match &subject.state {
             State::Alive => false,
+            // At most `2 * MIN_REPORTERS` reporters are recorded for one suspect.
             State::Suspect { reporters, .. } => {
                 reporters.contains(&reporter.name_hash) || reporters.len() >= 2 * MIN_REPORTERS
             }
--- a/crates/gossip/src/observations.rs
+++ b/crates/gossip/src/observations.rs
@@ -37,8 +37,8 @@
 #[derive(Default)]
 struct EngineObservations {
     started_at: Moment,
-    /// By the reservation type they are about, `None` for all types. Each entry holds at most `MAX_REPORTERS`
-    /// and is removed when they have expired.
+    /// The observations by the reservation type that they are about, with `None` for all types. Each entry
+    /// holds at most `MAX_REPORTERS` observations and is removed when all of them have expired.
     by_type: BTreeMap<Option<String>, Vec<StoredObservation>>,
 }
 
@@ -68,7 +68,8 @@
 }
 
 impl ObservationTable {
-    /// `max_types` limits how many reservation types the observations about one engine may name.
+    /// `max_types` limits how many reservation types the observations about one engine may name. One more
+    /// entry is allowed, for the observations about all types.
     pub fn new(lifetime: Span, clock_tolerance: Span, max_types: usize) -> Self {
         Self { engines: BTreeMap::new(), lifetime, clock_tolerance, max_types }
     }
@@ -99,7 +100,7 @@
     pub fn check(&self, now: Moment, observation: &Observation) -> Result<(), RejectReason> {
         let entry = self.engines.get(&observation.engine).ok_or(RejectReason::NotListed)?;
         // The two lists state different starts if one of them is out of date. An observation about an earlier
-        // start says nothing about the current one.
+        // start does not apply to the current one.
         if observation.started_at != entry.started_at
             && observation.started_at != Moment::default()
             && entry.started_at != Moment::default()
@@ -181,6 +182,7 @@
             let freshness = 1.0
                 - now.since(observation.signed_at.min(observation.received_at)).secs()
                     / self.lifetime.secs().max(1e-3);
+            // `Well` means healthy: such an observation adds no suspicion.
             let weight = if observation.condition == EngineCondition::Well {
                 0.0
             } else {
@@ -196,9 +198,10 @@
         (1.0 - no_suspicion).min(MAX_SUSPICION)
     }
 
-    /// Stops counting the stored suspicions about an engine whose condition `matches` accepts, and returns
-    /// their reporters. It concerns the suspicions about one reservation type or, with `None`, those about
-    /// all types. Each stays stored as a report that the engine is well, so that its number is kept.
+    /// Clears stored suspicions about an engine and returns their reporters. It clears those whose condition
+    /// `matches` accepts and that are about the reservation type or, with `None`, about all types. Each stays
+    /// stored as a report that the engine is healthy (`EngineCondition::Well`), because its number is needed
+    /// to recognize older observations of the same reporter.
     pub fn take_suspicions(
         &mut self, engine: &str, reservation_type: Option<&str>, matches: impl Fn(EngineCondition) -> bool,
     ) -> Vec<MemberId> {
--- a/crates/gossip/src/own_observations.rs
+++ b/crates/gossip/src/own_observations.rs
@@ -81,7 +81,7 @@
         self.engines = engines.map(|name| (name.to_owned(), old.remove(name).unwrap_or_default())).collect();
     }
 
-    /// Records that the decision module set an engine aside or took it back.
+    /// Records that the decision module set an engine aside or returned it to use.
     pub fn engine_judged(
         &mut self, now: Moment, engine: &str, condition: EngineCondition,
     ) -> Option<OwnObservation> {
--- a/crates/gossip/src/receive.rs
+++ b/crates/gossip/src/receive.rs
@@ -66,6 +66,8 @@
         }
         let same_record = known.is_some_and(|member| *member.record.bytes == *record.bytes);
         let known_address = known.is_some_and(|member| member.record.address == from);
+        // A record that is known already was verified before, so only the datagram's signature is checked.
+        // Otherwise the signatures of the pass and of the record are checked too.
         let checks = if same_record { 1.0 } else { 3.0 };
         let bucket = if known_address { &mut self.check_budget } else { &mut self.unknown_sender_budget };
         if !bucket.take(now, checks) {
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Sends the known record to a sender whose own record is older: it does not know of a later start of
-    /// its own, or that it was considered gone.
+    /// Sends the known record to a sender whose own record is older. Such a sender does not know of a later
+    /// incarnation of itself, or that it was considered gone.
     pub(crate) fn send_newer_record(
         &mut self, now: Moment, from: SocketAddr, record: &MemberRecord, envelope: &Envelope<'_>,
         length: usize,
@@ -127,14 +129,16 @@
         );
     }
 
-    /// Answers a datagram according to its kind, and removes those of this instance's pings that it answers.
+    /// Answers a datagram according to its kind. If the datagram is an acknowledgement, also removes this
+    /// instance's pings that it answers.
     pub(crate) fn respond(
         &mut self, now: Moment, from: SocketAddr, record: &MemberRecord, envelope: &Envelope<'_>,
         length: usize, was_gone: bool,
     ) {
         let Some(member) = self.members.get_mut(record.id) else { return };
-        // Only the holder of the key that received the datagram can return its id, so the address is
-        // verified.
+        // The reply is signed with the member's key and contains the id of a datagram that was sent to the
+        // member. Only a process that received that datagram knows the id, so a reply from the recorded
+        // address verifies that the member receives there.
         let is_reply = envelope.in_reply_to != 0
             && (self
                 .probes
@@ -153,12 +157,13 @@
             length.min(MAX_DATAGRAM_BYTES)
         };
         let mut items = Vec::new();
-        // A sender that was considered gone here receives the report, so that it can refute it with a higher
-        // incarnation.
+        // A sender that this instance considered gone receives a failure report about itself, so that it can
+        // refute the report with a higher incarnation.
         if was_gone {
             let report = FailureReport::issue(&self.identity, record.id, record.incarnation, now);
             items.push((ItemTag::FailureReport, report.to_bytes().into()));
         }
+        // The meaning of the field `about` depends on the kind and is given at each kind that uses it.
         match envelope.kind {
             DatagramKind::Ping => {
                 self.send_limited(
@@ -230,7 +235,7 @@
                     });
                 }
             }
-            // `about` is the id after which the records are wanted.
+            // `about` is the id after which the requested records start.
             DatagramKind::Pull => {
                 // A verified address gets several pages at once. Any other address gets one page, no larger
                 // than the request.
@@ -289,7 +294,7 @@
     }
 
     /// Compares the view that the sender reports with this instance's own. The difference is large if this
-    /// instance misses more than 5 % of the reported members and one more.
+    /// instance's number of live members is more than one below 95 % of the reported number.
     pub(crate) fn compare_views(&mut self, envelope: &Envelope<'_>) {
         if !matches!(envelope.kind, DatagramKind::Ack | DatagramKind::Page) {
             return;
@@ -346,6 +351,7 @@
             Item::MemberRecord(record) => self.handle_record(now, known_address, record),
             Item::FailureReport(report) => self.handle_failure_report(now, known_address, &report),
             Item::Observation(observation) => self.handle_observation(now, known_address, &observation),
+            // The operator's voter set names the voters, and notices are the voters' messages to all members.
             Item::VoterSet(voter_set) => self.handle_voter_set(now, known_address, voter_set),
             Item::Notice(notice) => self.handle_notice(now, known_address, notice),
             Item::Direct(_) => {}
@@ -363,8 +369,8 @@
 
     pub(crate) fn handle_record(&mut self, now: Moment, known_address: bool, record: MemberRecord) {
         if record.id == self.id() {
-            // The record is one of this instance: from before a restart, when its clock was ahead, or made
-            // with a stolen key.
+            // The record has this instance's own id. If it is newer than the current one, it was issued
+            // before a restart, when the clock was ahead, or it was made with a stolen key.
             let is_newer = record.incarnation > self.record.incarnation
                 || record.leaving && record.incarnation == self.record.incarnation;
             if is_newer
@@ -403,7 +409,7 @@
             let is_current = report.incarnation == self.record.incarnation
                 && self.last_refutation.is_none_or(|at| now.since(at) >= self.config.period);
             if is_current && self.take_check_budget(now, known_address, 1) && report.is_signed_by(&key) {
-                // Without a minimum, as the next incarnation refutes the report.
+                // The next incarnation refutes the report, so no minimum incarnation (0) is required.
                 self.renew_record(now, 0);
                 self.push_event(EventKind::SelfSuspected, None, None, None);
             }
