--- a/crates/accord/src/acceptor.rs
+++ b/crates/accord/src/acceptor.rs
@@ -7,7 +7,8 @@
 /// Why a voter does not grant the request of a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum VoteRefusal {
-    /// The next number is another one here: the proposer is behind, or this voter is.
+    /// The requested number does not follow the latest state that this voter knows: either the proposer or
+    /// this voter lacks a later state.
     OtherNumber,
     /// This incarnation has no vote on the number.
     NotAVoter,
@@ -58,7 +59,7 @@
         if !self.is_voter() {
             return Err(VoteRefusal::NotAVoter);
         }
-        // Threat: a follower that still acts on the state before the latest, while the state that comes two
+        // Threat: a follower may still act on the state before the latest while the state that comes two
         // steps after it is decided.
         if now < record.voting_opens_at(self.clock_tolerance) {
             return Err(VoteRefusal::PreviousLeaseActive);
--- a/crates/accord/src/follower.rs
+++ b/crates/accord/src/follower.rs
@@ -14,6 +14,7 @@
 /// A voter's statement that a state is the latest that it knows. The host signs it with the voter's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attestation {
+    /// The incarnation of the voter that issued the attestation. Its node is passed along separately.
     pub incarnation: Incarnation,
     pub number: StateNumber,
     pub digest: u64,
@@ -51,7 +52,7 @@
 pub enum FollowerUpdate {
     /// A later state is confirmed now.
     StateAdvanced,
-    /// The input was recorded and is worth passing on to others.
+    /// The input was recorded. Other routers may need it as well.
     Recorded,
     /// The input was ignored.
     Ignored,
@@ -105,19 +106,19 @@
         true
     }
 
-    /// The latest state that a majority of its voters has attested, in force or not.
+    /// The latest state that a majority of its voters has attested, whether or not its lease still lasts.
     pub fn confirmed(&self) -> Option<&DecidedState> {
         self.confirmed.as_ref()
     }
 
     /// Receives a state from any sender. It is confirmed once a majority of its voters, all of them in the
-    /// voter set, has attested it. Until then it is kept only if at least one of them has attested it, so
-    /// that others can't fill the table.
+    /// voter set, has attested it. Until then it is kept as a candidate only if at least one of them has
+    /// attested it, so that senders that aren't voters can't fill the list of candidates.
     pub fn receive_state(&mut self, state: DecidedState) -> FollowerUpdate {
         let valid = state.number.epoch == self.epoch && state.proposal.is_valid(self.max_content_bytes);
         let all_in_voter_set = state.proposal.voters.iter().all(|voter| self.voter_set.contains(&voter.node));
-        // Threat: an epoch that was founded twice. A follower that remembers the first founding must not take
-        // states of the second for later states of the first.
+        // Threat: an epoch may be founded twice, which means that its first state is set twice. A follower
+        // that remembers the first founding must not take states of the second for later states of the first.
         let follows = |known: &DecidedState| {
             state.number.is_later(known.number) && state.number.shares_history_with(known.number)
         };
@@ -212,7 +213,7 @@
         Some(*oldest + self.lease.saturating_sub(self.clock_tolerance))
     }
 
-    /// The state that may be acted on now.
+    /// The state in force: the confirmed state while the lease on it lasts. Only then may it be acted on.
     pub fn in_force(&self, now: Moment) -> Option<&DecidedState> {
         self.lease_end().filter(|until| now < *until)?;
         self.confirmed.as_ref()
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -1,5 +1,5 @@
 //! One router as a voter and proposer: it offers to vote, votes, proposes, detects which voters are gone, and
-//! sends the latest state to voters that are behind.
+//! sends the latest state to voters that know only an earlier one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,7 +29,7 @@
 /// The number of attestations that a voter issues in the time for which one is valid.
 const ATTESTATIONS_PER_LEASE: f64 = 4.0;
 
-/// The periods, tolerances and limits of the agreement protocol, which settings and events call "accord".
+/// The periods, tolerances and limits of the agreement protocol. Its name in settings and events is "accord".
 #[derive(Clone, Copy, Debug)]
 pub struct AccordConfig {
     /// The time between two heartbeats of a voter.
@@ -54,8 +54,9 @@
     Overtaken,
     VoterGone,
     VoterBack,
-    /// The latest state does not name this incarnation of the node as a voter. It can't vote until a state
-    /// names it.
+    /// The latest state does not name this incarnation of the node as a voter, although the operator's voter
+    /// set contains the node. The node can't vote until a state names this incarnation. The log event is
+    /// named `accord_forgotten`.
     Forgotten,
     MajorityLost,
     MajorityBack,
@@ -141,8 +142,8 @@
     /// the latest state that it knows; at most one entry for each router of the voter set.
     enlisted: BTreeMap<NodeId, (Incarnation, Option<DecisionRecord>)>,
     active_ballot: Option<ActiveBallot>,
-    /// The content that the host wants decided, and the number of the state that it is meant to follow.
-    wanted_content: Option<(StateNumber, Vec<u8>)>,
+    /// The content that the host has proposed, and the number of the state that it is meant to follow.
+    pending_content: Option<(StateNumber, Vec<u8>)>,
     /// The highest ballot round that this node has seen or used.
     highest_round: u64,
     /// The number of consecutive ballots that failed, at most [`MAX_TIMEOUT_DOUBLINGS`], and when the next
@@ -173,7 +174,7 @@
             peers: BTreeMap::new(),
             enlisted: BTreeMap::new(),
             active_ballot: None,
-            wanted_content: None,
+            pending_content: None,
             highest_round: 0,
             failed_ballots: 0,
             next_ballot_at: now,
@@ -208,7 +209,7 @@
         }
         if epoch > self.epoch {
             self.epoch = epoch;
-            (self.active_ballot, self.wanted_content, self.majority_lost, self.forgotten_reported) =
+            (self.active_ballot, self.pending_content, self.majority_lost, self.forgotten_reported) =
                 (None, None, false, false);
             self.two_foundings_reported = false;
             self.enlisted.clear();
@@ -220,20 +221,21 @@
         self.next_heartbeat_at = now;
     }
 
-    /// Applies a voter set that does not contain this node, which then has no part in the epoch.
+    /// Applies a voter set that does not contain this node. The node neither votes nor proposes in the epoch.
     pub fn exclude_from_epoch(&mut self, epoch: u64) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.voter_set.clear();
             self.peers.clear();
             self.enlisted.clear();
-            (self.active_ballot, self.wanted_content, self.majority_lost) = (None, None, false);
+            (self.active_ballot, self.pending_content, self.majority_lost) = (None, None, false);
         }
     }
 
     /// Whether this node is the one that should propose, as far as it can tell: the first, in the order of
-    /// node ids, of the live voters that have two-way contact with a majority. Threat: a first voter that
-    /// receives from all and is received by few, or the reverse, would keep all others from proposing.
+    /// node ids, of the live voters that have two-way contact with a majority. Threat: without the condition
+    /// on contact, a first voter whose messages reach only few others, or that receives from only few, would
+    /// keep all others from proposing.
     pub fn is_designated_proposer(&self, now: Moment) -> bool {
         let Some(state) = self.latest().filter(|_| self.has_majority_contact(now)) else { return false };
         let mut earlier_voters = state.proposal.voters.iter().take_while(|voter| voter.node < self.me.node);
@@ -266,7 +268,7 @@
 
     /// Asks for `content` to be decided as the state that follows `after`. A decision is reported as
     /// [`Action::Decided`]. If another proposal is decided first, [`EventKind::Overtaken`] reports it, and
-    /// the host has to reconsider what it wants.
+    /// the host has to reconsider the content that it proposes.
     pub fn propose(&mut self, now: Moment, after: StateNumber, content: Vec<u8>) -> Result<(), ProposeError> {
         let Some(latest) = self.latest().filter(|_| self.is_voter()) else {
             return Err(ProposeError::NotAVoter);
@@ -277,10 +279,10 @@
         if content.len() > self.config.max_content_bytes {
             return Err(ProposeError::ContentTooLong);
         }
-        if self.wanted_content.is_some() {
+        if self.pending_content.is_some() {
             return Err(ProposeError::ProposalPending);
         }
-        self.wanted_content = Some((after, content));
+        self.pending_content = Some((after, content));
         self.next_ballot_at = self.next_ballot_at.min(now);
         Ok(())
     }
@@ -317,11 +319,11 @@
                 self.handle_accepted(now, voter, number, ballot, Moment::from_micros(attested_until_us));
             }
             Message::Reject { number, promised } => {
-                let own = self
+                let own_ballot = self
                     .active_ballot
                     .as_ref()
                     .map(|active| (active.proposer.number, active.proposer.ballot));
-                if own.is_some_and(|(own, ballot)| own == number && ballot < promised) {
+                if own_ballot.is_some_and(|(own_number, ballot)| own_number == number && ballot < promised) {
                     self.highest_round = self.highest_round.max(promised.round);
                     self.abandon_ballot(now);
                 }
@@ -330,10 +332,10 @@
         }
     }
 
-    /// Records that a message came from a voter. Returns false if it is to be ignored, as a later incarnation
-    /// of the voter is alive: messages of an earlier one may still arrive late. Later starts have greater
-    /// incarnations. After a start at which the clock went back, the smaller incarnation is ignored until the
-    /// old one counts as gone.
+    /// Records that a message came from a voter. Returns false if the message must be ignored because a later
+    /// incarnation of the voter is alive: messages of an earlier one may still arrive late. Later starts have
+    /// greater incarnations. After a start at which the clock went back, the smaller incarnation is ignored
+    /// until the old one counts as gone.
     fn record_contact(&mut self, now: Moment, voter: Voter) -> bool {
         let old = self.peers.get(&voter.node);
         let gone_after = self.config.heartbeat_period.mul_f64(VOTER_GONE_AFTER_PERIODS);
@@ -376,7 +378,8 @@
         self.actions.push_back(Action::Send { to, bytes: encode(self.me.incarnation, message) });
     }
 
-    /// Sends the latest state to a voter that is behind. A voter that is ahead will send its own.
+    /// Sends the latest state to a voter that knows only an earlier one. A voter that knows a later state
+    /// will send that one.
     fn send_latest_if_behind(&mut self, voter: Voter, latest: Option<StateNumber>) {
         let Some(record) = self.acceptor.latest() else { return };
         let own = record.state.number;
@@ -403,7 +406,8 @@
         {
             return self.learn(now, record.clone());
         }
-        // An invalid state that was taken as the base would keep the epoch from being founded at all.
+        // The first state of the epoch takes its content from the latest state that an enlisted router knows.
+        // If that state were invalid, the epoch could not be founded at all.
         let latest = latest.filter(|known| known.state.proposal.is_valid(self.config.max_content_bytes));
         self.enlisted.insert(voter.node, (voter.incarnation, latest));
         self.found_epoch(now);
@@ -459,7 +463,7 @@
     pub fn learn(&mut self, now: Moment, record: DecisionRecord) {
         let number = record.state.number;
         let valid = record.state.proposal.is_valid(self.config.max_content_bytes);
-        // Threat: a `previous_lease_end_us` from a clock that is far ahead would hold up all further votes.
+        // Threat: a `previous_lease_end_us` from a clock that is far ahead would delay all further votes.
         let max_lease_end = unix_micros(now + (self.config.lease + self.config.clock_tolerance).mul_f64(2.0));
         // Only the operator's voter set begins an epoch. A state of an epoch whose voter set has not arrived
         // here yet is sent again later.
@@ -476,10 +480,10 @@
         self.enlisted.clear();
         self.failed_ballots = 0;
         let overtaken =
-            self.wanted_content.as_ref().is_some_and(|(_, content)| *content != state.proposal.content);
-        // This includes a state that only changes the voters and keeps the content: the host has to
-        // reconsider what it wants.
-        if self.wanted_content.take().is_some() && overtaken {
+            self.pending_content.as_ref().is_some_and(|(_, content)| *content != state.proposal.content);
+        // A state that only changes the voters and keeps the content also counts: the host has to reconsider
+        // the content that it proposes.
+        if self.pending_content.take().is_some() && overtaken {
             self.push_event(EventKind::Overtaken, None);
         }
         self.active_ballot = None;
@@ -499,7 +503,7 @@
         &mut self, now: Moment, proposer: Voter, number: StateNumber, ballot: Ballot,
         proposal: Option<Proposal>,
     ) {
-        // A voter that knows of a later epoch votes in no earlier one.
+        // A voter votes only in the latest epoch that it knows.
         if ballot.proposer != proposer || number.epoch != self.epoch {
             return;
         }
@@ -520,6 +524,7 @@
             Err(VoteRefusal::HigherBallot(promised)) => {
                 self.send(proposer.node, &Message::Reject { number, promised })
             }
+            // The request is not about the number that follows the latest state known here.
             Err(VoteRefusal::OtherNumber) => {
                 let behind = self.latest().is_some_and(|own| !number.is_later(own.number));
                 if let Some(record) = self.acceptor.latest().filter(|_| behind).cloned() {
@@ -608,7 +613,7 @@
         let voters = self.next_voters(now, latest);
         let change = voters != latest.proposal.voters && self.is_designated_proposer(now);
         let voters = if change { voters } else { latest.proposal.voters.clone() };
-        match &self.wanted_content {
+        match &self.pending_content {
             Some((_, content)) => Some(Proposal { voters, content: content.clone() }),
             None => change.then(|| Proposal { voters, content: latest.proposal.content.clone() }),
         }
@@ -733,8 +738,8 @@
         }
     }
 
-    /// Starts a ballot for the next number if there is something to decide. Without a majority a ballot could
-    /// not succeed.
+    /// Starts a ballot for the next number if there is something to decide, the leases of the previous state
+    /// have ended and a majority is in contact. Without a majority the ballot could not succeed.
     fn start_ballot(&mut self, now: Moment) {
         let Some(proposal) = self.next_proposal(now) else { return };
         let Some(record) = self.acceptor.latest() else { return };
--- a/crates/accord/src/proposer.rs
+++ b/crates/accord/src/proposer.rs
@@ -69,7 +69,7 @@
 
     /// Records a voter's promise. Once a majority has promised, returns the proposal that the voters have to
     /// accept. If voters of this majority had accepted proposals, it is the one with the highest ballot, as
-    /// it may have been decided already; otherwise it is the proposal that this proposer wants.
+    /// it may have been decided already; otherwise it is this proposer's own proposal.
     pub fn receive_promise(
         &mut self, voter: Voter, ballot: Ballot, accepted: Option<(Ballot, Proposal)>,
     ) -> Option<Proposal> {
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -235,7 +235,7 @@
             for router in 0..self.routers.len() {
                 if self.routers[router].stopped_until.is_some_and(|until| until <= self.now) {
                     self.routers[router].stopped_until = None;
-                    // Threat: a process that was stopped acts before it receives the messages that waited.
+                    // Threat: a process that was stopped may act before it receives the messages that waited.
                     self.act_on_state(router);
                     for message in std::mem::take(&mut self.routers[router].queued) {
                         self.deliver(router, message);
--- a/crates/accord/tests/scenarios.rs
+++ b/crates/accord/tests/scenarios.rs
@@ -290,7 +290,7 @@
     assert_eq!(node.latest().unwrap().number.epoch, 1);
 }
 
-/// A voter whose clock is far ahead must not hold up all votes.
+/// A voter whose clock is far ahead must not delay all votes.
 #[test]
 fn state_with_a_lease_end_far_ahead_is_not_learned() {
     let mut simulation = simulation_with_first_state(15, 3, 4);
--- a/crates/flow-control/src/engine_rates.rs
+++ b/crates/flow-control/src/engine_rates.rs
@@ -8,7 +8,7 @@
 /// Maximum weight of an engine's past transfers: plain means up to this number of transfers, moving means
 /// after it.
 const MAX_SAMPLES: f64 = 16.0;
-/// A transfer of fewer bytes says nothing about a rate and is ignored.
+/// A transfer of fewer bytes is too short to measure a rate and is ignored.
 const MIN_TRANSFER_BYTES: usize = 512;
 /// Engines with fewer transfers than this do not count for the median.
 const MIN_SAMPLES: f64 = 4.0;
--- a/crates/operator/src/template.rs
+++ b/crates/operator/src/template.rs
@@ -163,6 +163,8 @@
         let spans =
             error_span(&error.kind).into_iter().chain(error.stack_trace.iter().rev().filter_map(span));
         let mut positions = spans.map(|span| self.position(program, span));
+        // The first position in a file is reported. A name in parentheses is that of the function in
+        // `manifest`, "(result)", which is no file.
         let at = positions.find(|position| position != "standard library" && !position.starts_with('('));
         let why = match &error.kind {
             EvalErrorKind::ExplicitError { message, .. } => message.clone(),
