--- a/crates/gossip/tests/decisions.rs
+++ b/crates/gossip/tests/decisions.rs
@@ -111,7 +111,7 @@
         }
         simulation.set_engine_state_after(secs(2.0), 6, EngineState::Dead);
         simulation.run_for(secs(8.0));
-        simulation.cluster.net.heal();
+        simulation.cluster.net.end_partitions();
         simulation.set_engine_state_after(secs(4.0), 6, EngineState::Healthy);
         simulation.run_for(secs(12.0));
         assert_eq!(simulation.violations(), Vec::<String>::new());
--- a/crates/gossip/tests/properties.rs
+++ b/crates/gossip/tests/properties.rs
@@ -168,7 +168,7 @@
                 cluster.start(node);
             }
         }
-        cluster.net.heal();
+        cluster.net.end_partitions();
         cluster.net.conditions = NetworkConditions::reliable();
         let agreed = cluster.run_until(secs(60.0), Cluster::views_agree);
         let views: Vec<_> = cluster.running().map(|(node, core)| (node, core.live_members())).collect();
--- a/crates/gossip/tests/scenarios.rs
+++ b/crates/gossip/tests/scenarios.rs
@@ -504,7 +504,7 @@
     let parted =
         |cluster: &Cluster| cluster.core(3).live_members() == 4 && cluster.core(8).live_members() == 5;
     assert!(cluster.run_until(secs(20.0), parted).is_some());
-    cluster.net.heal();
+    cluster.net.end_partitions();
     assert!(cluster.run_until(secs(30.0), Cluster::views_agree).is_some());
 }
 
@@ -593,7 +593,7 @@
         assert!(cluster.run_until(secs(30.0), parted).is_some(), "{small} of 40 cut off");
         cluster.kill(10);
         cluster.run_for(secs(5.0));
-        cluster.net.heal();
+        cluster.net.end_partitions();
         let healed = cluster.run_until(secs(30.0), Cluster::views_agree);
         assert!(
             healed.is_some(),
--- a/crates/standins/examples/gossip_scale.rs
+++ b/crates/standins/examples/gossip_scale.rs
@@ -120,7 +120,7 @@
                 cluster.net.set_partition(address, 1);
             }
             cluster.run_for(secs(20.0));
-            cluster.net.heal();
+            cluster.net.end_partitions();
             println!(
                 "halves agree again after: {}",
                 format_span(cluster.run_until(secs(300.0), Cluster::views_agree))
--- a/crates/standins/preload/faults.c
+++ b/crates/standins/preload/faults.c
@@ -18,8 +18,8 @@
 #include <unistd.h>
 
 /*
- * The calls are in the order of `SystemCall` in src/preload.rs. Each has two slots: every how many calls
- * one fails (0 for none), and the error number.
+ * The calls are in the order of `SystemCall` in src/preload.rs. Each has two slots: the number N for which
+ * every Nth call fails (0 if none fails), and the error number.
  */
 enum call { RECV, PEEK, SEND, WRITEV, ACCEPT, CONNECT, SOCKET, POLL, CALL_COUNT };
 /*
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -112,9 +112,9 @@
 
     /// Whether the router closes the connection. Data that arrives before the close is discarded.
     pub fn is_closed(&mut self) -> bool {
-        let mut rest = [0; 1024];
+        let mut discarded = [0; 1024];
         loop {
-            match self.0.read(&mut rest) {
+            match self.0.read(&mut discarded) {
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(error) => return error.kind() == std::io::ErrorKind::ConnectionReset,
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -16,6 +16,7 @@
 pub const START: Moment = Moment::from_micros(1_780_000_000_000_000);
 const YEAR: Span = Span::from_micros(31_536_000_000_000);
 
+/// Converts seconds to a span.
 pub fn secs(count: f64) -> Span {
     Span::from_secs(count)
 }
@@ -55,6 +56,7 @@
     secret_key(u64::MAX)
 }
 
+/// The id of the stand-in clusters.
 pub fn cluster_id() -> ClusterId {
     ClusterId::from_name("stand-ins")
 }
@@ -124,12 +126,13 @@
     pub pending_reports: VecDeque<(usize, String, Option<String>, f64)>,
     pub config: GossipConfig,
     seed: u64,
-    /// Voter sets that instances received, as instance and epoch; and notices, as instance, sender and
-    /// payload.
+    /// Voter sets that instances received, as instance and epoch.
     pub voter_sets: Vec<(usize, u64)>,
+    /// Notices that instances received, as instance, sender and payload.
     pub notices: Vec<(usize, MemberId, Vec<u8>)>,
     /// What the voters agree on and every instance follows; empty until the operator issues a voter set.
     pub agreements: BTreeMap<usize, Agreement>,
+    /// The next deadline of each instance, in order of time.
     deadlines: BTreeSet<(Moment, usize)>,
     node_deadlines: Vec<Option<Moment>>,
     node_by_address: HashMap<SocketAddr, usize>,
@@ -142,7 +145,7 @@
         let (nodes, events, pending_reports, node_by_address) =
             (Vec::new(), Vec::new(), VecDeque::new(), HashMap::new());
         let (deadlines, node_deadlines) = (BTreeSet::new(), Vec::new());
-        let (agreements, orders, notices) = (BTreeMap::new(), Vec::new(), Vec::new());
+        let (agreements, voter_sets, notices) = (BTreeMap::new(), Vec::new(), Vec::new());
         let mut new = Self {
             now: START + secs(60.0),
             net,
@@ -152,7 +155,7 @@
             config,
             seed,
             agreements,
-            voter_sets: orders,
+            voter_sets,
             notices,
             deadlines,
             node_deadlines,
@@ -218,9 +221,9 @@
     /// Calls `act` on an instance's core, then runs the actions that follow from it.
     pub fn with_core<T>(&mut self, node: usize, act: impl FnOnce(Moment, &mut Gossip) -> T) -> T {
         let now = self.nodes[node].now(self.now);
-        let done = act(now, self.nodes[node].core.as_mut().expect("an instance that runs"));
+        let result = act(now, self.nodes[node].core.as_mut().expect("an instance that runs"));
         self.run_actions(node);
-        done
+        result
     }
 
     /// Issues an operator-signed voter set and passes it to instance 0. Every instance takes part in the
@@ -256,7 +259,7 @@
         }
     }
 
-    /// Sends a datagram that no instance sent.
+    /// Sends a datagram that does not come from an instance.
     pub fn inject(&mut self, from: SocketAddr, to: usize, bytes: Vec<u8>) {
         let to = self.nodes[to].address;
         self.net.send(self.now, from, to, bytes);
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -48,8 +48,9 @@
         }
         let (after, patience) =
             (query_param(call, "after"), Duration::from_millis(query_param(call, "patience")));
-        let none = |events: &mut Vec<Value>| events.iter().all(|event| event["no"].as_u64() <= Some(after));
-        let events = self.0.1.wait_timeout_while(self.0.0.lock().unwrap(), patience, none).unwrap().0;
+        let has_none =
+            |events: &mut Vec<Value>| events.iter().all(|event| event["no"].as_u64() <= Some(after));
+        let events = self.0.1.wait_timeout_while(self.0.0.lock().unwrap(), patience, has_none).unwrap().0;
         Self::events_after(&events, after)
     }
 
@@ -68,8 +69,8 @@
 
 /// Returns a numeric query parameter of a call's path. Panics if it is missing.
 pub fn query_param(call: &Call, name: &str) -> u64 {
-    let asked = call.line.split_once(&format!("{name}=")).map(|(_, rest)| rest.split(['&', ' ']).next());
-    let number = asked.flatten().and_then(|number| number.parse().ok());
+    let value = call.line.split_once(&format!("{name}=")).map(|(_, rest)| rest.split(['&', ' ']).next());
+    let number = value.flatten().and_then(|number| number.parse().ok());
     number.unwrap_or_else(|| panic!("no {name} in a call to discovery: {call:?}"))
 }
 
--- a/crates/standins/src/engines.rs
+++ b/crates/standins/src/engines.rs
@@ -190,8 +190,8 @@
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
         // The queue is full as soon as one of these connections fails.
-        let more = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
-        let fillers = std::iter::from_fn(more).collect();
+        let connect_filler = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
+        let fillers = std::iter::from_fn(connect_filler).collect();
         Self { listener, address, fillers }
     }
 
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,5 +1,5 @@
-//! Schedules of consecutive faults, drawn from a seed, which can be printed and replayed. The names of
-//! variants and fields are part of the printed schedules.
+//! Schedules of consecutive faults, drawn from a seed, which can be printed and replayed. Tests store their
+//! Debug output, so the names of types, variants and fields must stay.
 
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -22,8 +22,8 @@
     Replace(Vec<usize>),
     /// Makes an engine answer every call with an error from now on.
     Bad(usize),
-    /// Applies these conditions to the traffic between endpoints, each in its direction, for this many
-    /// milliseconds; then the network is healed.
+    /// Applies these conditions to the traffic between endpoints, each in one direction, for this many
+    /// milliseconds; then all conditions are removed.
     Lay(Vec<(EndpointSet, EndpointSet, Way)>, u64),
     /// Resets the open connections from one set of endpoints to another.
     Reset(EndpointSet, EndpointSet),
@@ -106,7 +106,8 @@
     }
 }
 
-/// Removes one fault after another from a failing schedule, as long as the rest still fails.
+/// Tries to remove each fault from a failing schedule, and keeps it only if the schedule no longer fails
+/// without it.
 pub fn shrink(schedule: &Schedule, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
     let mut smallest = schedule.clone();
     let mut at = smallest.faults.len();
--- a/crates/standins/src/lightweight/engines.rs
+++ b/crates/standins/src/lightweight/engines.rs
@@ -23,8 +23,8 @@
 const READ_BYTES: usize = 4 * 1024;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const ROW: &str = "a\tb\tc\n";
-/// Load reports give the processor's utilisation in thousandths.
-const LOAD_UNITS: f64 = 1_000.0;
+/// The utilisation that engines report is kept in units of a thousandth.
+const UTILISATION_UNITS: f64 = 1_000.0;
 
 /// Requests that engines received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 }
 
 impl Counts {
-    fn tally(&self) -> RequestCounts {
+    fn snapshot(&self) -> RequestCounts {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         RequestCounts {
             queries: read(&self.queries),
@@ -84,9 +84,9 @@
             let (executor, shut_down) = (executor.clone(), shut_down.clone());
             thread::spawn(move || async_io::block_on(executor.run(shut_down.recv())));
         }
-        let known = shared.clone();
+        let engines = shared.clone();
         thread::spawn(move || {
-            let accepting = accept(listener, known, &executor);
+            let accepting = accept(listener, engines, &executor);
             let shutdown = async { _ = shut_down.recv().await };
             async_io::block_on(executor.run(accepting.or(shutdown)));
         });
@@ -100,17 +100,17 @@
 
     /// Sets the processor utilisation that every engine reports, from 0 to 1, as if other routers loaded it.
     pub fn set_reported_load(&self, share: f64) {
-        self.shared.reported_load.store((share * LOAD_UNITS) as u32, Ordering::Relaxed);
+        self.shared.reported_load.store((share * UTILISATION_UNITS) as u32, Ordering::Relaxed);
     }
 
     /// The requests that one engine received.
     pub fn counts(&self, engine: usize) -> RequestCounts {
-        self.shared.engines[engine].tally()
+        self.shared.engines[engine].snapshot()
     }
 
     /// The requests that all engines received.
     pub fn total_counts(&self) -> RequestCounts {
-        self.shared.engines.iter().map(Counts::tally).fold(RequestCounts::default(), |sum, each| {
+        self.shared.engines.iter().map(Counts::snapshot).fold(RequestCounts::default(), |sum, each| {
             RequestCounts {
                 queries: sum.queries + each.queries,
                 probes: sum.probes + each.probes,
@@ -175,7 +175,7 @@
     if !call.starts_with(b"GET /load ") {
         return "HTTP/1.1 204 No Content\r\n\r\n".to_owned();
     }
-    let share = f64::from(reported_load.load(Ordering::Relaxed)) / LOAD_UNITS;
+    let share = f64::from(reported_load.load(Ordering::Relaxed)) / UTILISATION_UNITS;
     let report = ok_response(&format!("X-Stats: waiting:0;cpu:{share}\r\n"), "");
     counts.probes.fetch_add(1, Ordering::Relaxed);
     counts.probe_bytes.fetch_add(call.len() as u64, Ordering::Relaxed);
--- a/crates/standins/src/log_reader.rs
+++ b/crates/standins/src/log_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a process's log: a thread copies a pipe into a file, and can be slowed down or paused.
+//! Reads a process's log: a thread copies a pipe into a file, and can be slowed down or suspended.
 
 use std::fs::File;
 use std::io::{self, PipeReader, Read, Write};
@@ -18,26 +18,26 @@
 
 const SLOW_READ_BYTES: usize = 1_024;
 const SLOW_READ_PAUSE: Duration = Duration::from_millis(100);
-/// Interval at which a paused reader checks whether to go on.
+/// Interval at which a suspended reader checks whether to continue.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The log reader of one process, across its restarts.
 #[derive(Default)]
 pub struct LogReader {
-    reading: Arc<AtomicU8>,
+    mode: Arc<AtomicU8>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl LogReader {
     /// Starts to read the log of a process that was just started.
     pub fn start(&mut self, from: PipeReader, to: File) {
-        let reading = self.reading.clone();
-        self.thread = Some(thread::spawn(move || copy_log(from, to, &reading)));
+        let mode = self.mode.clone();
+        self.thread = Some(thread::spawn(move || copy_log(from, to, &mode)));
     }
 
     /// Changes how the log is read.
-    pub fn set(&self, reading: LogReadMode) {
-        self.reading.store(reading as u8, Ordering::SeqCst);
+    pub fn set(&self, mode: LogReadMode) {
+        self.mode.store(mode as u8, Ordering::SeqCst);
     }
 
     /// Reads the rest of the log of a process that has ended.
@@ -49,15 +49,15 @@
     }
 }
 
-fn copy_log(mut from: PipeReader, mut to: File, reading: &AtomicU8) {
+fn copy_log(mut from: PipeReader, mut to: File, mode: &AtomicU8) {
     let mut bytes = vec![0; 64 * 1_024];
     loop {
-        let reading = reading.load(Ordering::SeqCst);
-        if reading == LogReadMode::NotAtAll as u8 {
+        let mode = mode.load(Ordering::SeqCst);
+        if mode == LogReadMode::NotAtAll as u8 {
             thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let is_slow = reading == LogReadMode::Slowly as u8;
+        let is_slow = mode == LogReadMode::Slowly as u8;
         let max_bytes = if is_slow { SLOW_READ_BYTES } else { bytes.len() };
         match from.read(&mut bytes[..max_bytes]) {
             Ok(0) => return,
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -11,9 +11,11 @@
 /// Conditions for all datagrams. Delays are drawn uniformly from a range; a wide range reorders datagrams.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// Probabilities of loss and of duplication per datagram, from 0 to 1.
+    /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
+    /// Probability that a datagram is delivered twice, from 0 to 1.
     pub duplication: f64,
+    /// Minimum and maximum delay.
     pub delay: (Span, Span),
 }
 
@@ -37,6 +39,7 @@
     partitions: BTreeMap<SocketAddr, u8>,
     /// Additional delay of the datagrams that an address sends.
     extra_delays: BTreeMap<SocketAddr, Span>,
+    /// Datagrams in flight by arrival time and copy number: sender, receiver and bytes.
     in_flight: BTreeMap<(Moment, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
     sent_copies: u64,
 }
@@ -61,7 +64,7 @@
     }
 
     /// Ends all partitions.
-    pub fn heal(&mut self) {
+    pub fn end_partitions(&mut self) {
         self.partitions.clear();
     }
 
--- a/crates/standins/src/preload.rs
+++ b/crates/standins/src/preload.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 const SOURCE: &str = include_str!("../preload/faults.c");
-/// Slots of the file that the library maps: two for each call, the maximum transfer, the clock step, and the
-/// number of failures of each call.
+/// Number of system calls that can fail. The file that the library maps has two slots for each call, then the
+/// maximum transfer, the clock step, and the number of failures of each call.
 const CALL_COUNT: usize = 8;
 const MAX_TRANSFER_SLOT: usize = 2 * CALL_COUNT;
 const CLOCK_STEP_SLOT: usize = MAX_TRANSFER_SLOT + 1;
@@ -88,7 +88,7 @@
         self.set(MAX_TRANSFER_SLOT, max_bytes.into());
     }
 
-    /// Sets the process's wall clock this far ahead, or behind if `back` is set, from now on.
+    /// Sets the process's wall clock this far ahead, or behind if `backwards` is set, from now on.
     pub fn step_clock(&self, step: Duration, backwards: bool) {
         let micros = i64::try_from(step.as_micros()).expect("a step that fits into 64 bits");
         self.set(CLOCK_STEP_SLOT, if backwards { -micros } else { micros });
--- a/crates/standins/src/processes.rs
+++ b/crates/standins/src/processes.rs
@@ -74,7 +74,7 @@
         Self::start_with_log_level(TEST_LOG_LEVEL, program, arguments, folder, name, config)
     }
 
-    /// Starts a process with this log level; measurements want no log line per job.
+    /// Starts a process with this log level; measurements use one without a log line per job.
     pub fn start_with_log_level(
         level: &str, program: &str, arguments: &[String], folder: &Path, name: &str, config: &str,
     ) -> Self {
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Whether the process was started and has not ended by itself. The process is not reaped, so that its id
+    /// Whether the process was started and has not ended since. The process is not reaped, so that its id
     /// is not reused.
     pub fn is_running(&self) -> bool {
         let options = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
@@ -357,7 +357,7 @@
         .expect("an address")
 }
 
-/// Returns a free datagram port in the same way.
+/// Returns a free datagram port at a loopback address that only this process uses.
 pub fn free_datagram_address() -> SocketAddr {
     UdpSocket::bind((unique_loopback_address(), 0))
         .and_then(|socket| socket.local_addr())
--- a/crates/standins/src/simulation.rs
+++ b/crates/standins/src/simulation.rs
@@ -18,10 +18,11 @@
 /// Indices of the types in the stand-ins' settings.
 pub const LOOK_TYPE: usize = 0;
 pub const LOAD_TYPE: usize = 1;
-/// Values of the stand-ins' settings.
+/// Drain grace in the stand-ins' settings.
 const DRAIN_GRACE: Span = Span::from_micros(1_000_000);
+/// Connect timeout in the stand-ins' settings.
 const CONNECT_TIMEOUT: Span = Span::from_micros(250_000);
-/// How long an engine works on a job.
+/// Run time of a job at an engine.
 const JOB_TIME: Span = Span::from_micros(50_000);
 /// An engine ends a query that was not polled for this time.
 const UNPOLLED_QUERY_TIMEOUT: Span = Span::from_micros(2_250_000);
@@ -92,6 +93,7 @@
     gossip: bool,
     rng: Pcg32,
     queue: BTreeMap<(Moment, u64), SimulationEvent>,
+    /// Number of scheduled events, which orders events of the same time.
     sequence: u64,
     /// One in this many jobs is a load, which is run-once.
     pub load_interval: u64,
@@ -173,7 +175,7 @@
         self.schedule(self.now() + after, SimulationEvent::EngineListed { router, engine, status });
     }
 
-    /// Passes a peer report to a router as if it came from any member.
+    /// Passes a peer report to a router as if any member had sent it.
     pub fn peer_report(&mut self, router: usize, engine: usize, job_type: Option<usize>, suspicion: f64) {
         let now = self.now();
         if let Some(id) = self.id(router, engine) {
@@ -411,13 +413,13 @@
                     self.schedule(at, SimulationEvent::Wake { router });
                 }
                 Decision::SetAside { engine, why } => {
-                    let seen = if why == woadhook::SetAsideReason::Failed {
+                    let condition = if why == woadhook::SetAsideReason::Failed {
                         EngineCondition::Reset
                     } else {
                         EngineCondition::Silent
                     };
                     let name = self.sim_routers[router].instance.engines.name(engine.0).to_owned();
-                    self.with_gossip(router, |now, core| core.engine_judged(now, &name, seen));
+                    self.with_gossip(router, |now, core| core.engine_judged(now, &name, condition));
                 }
                 Decision::Back { engine } => {
                     let name = self.sim_routers[router].instance.engines.name(engine.0).to_owned();
@@ -498,8 +500,8 @@
         moments.windows(2).map(|pair| pair[1].since(pair[0])).max().unwrap_or_default()
     }
 
-    /// Lists the violated rules: at most one answer to each job, and one once its time is up; no load
-    /// executed twice; no dispatch after a drain's grace.
+    /// Lists the violations of the rules: each job gets at most one answer, and has one once its time is up;
+    /// no load is executed twice; no dispatch is sent to an engine after its drain grace.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (router, sim_router) in self.sim_routers.iter().enumerate() {
@@ -511,22 +513,25 @@
             }
         }
         for engine in &self.engines {
-            for ((router, job), _) in engine.executions.iter().filter(|(_, sequence)| **sequence > 1) {
+            for ((router, job), _) in engine.executions.iter().filter(|(_, count)| **count > 1) {
                 if self.sim_routers[*router].jobs[*job].job_type == LOAD_TYPE {
                     violations.push(format!("{}: load {job} of router {router} ran twice", engine.name));
                 }
             }
             for (at, router) in &engine.dispatches {
-                let drain_times = engine.drain_times.get(router);
-                if drain_times.is_some_and(|drain_times| *at > *drain_times + DRAIN_GRACE) {
-                    violations.push(format!("{}: a send of router {router} after its drain", engine.name));
+                let learned_at = engine.drain_times.get(router);
+                if learned_at.is_some_and(|learned_at| *at > *learned_at + DRAIN_GRACE) {
+                    violations.push(format!(
+                        "{}: dispatch from router {router} after the drain grace",
+                        engine.name
+                    ));
                 }
             }
         }
         let engines_of_jobs = self.engines.iter().flat_map(|engine| engine.executions.keys());
         let mut runs: HashMap<(usize, usize), u32> = HashMap::new();
         engines_of_jobs.for_each(|key| *runs.entry(*key).or_default() += 1);
-        for ((router, job), _) in runs.iter().filter(|(_, sequence)| **sequence > 1) {
+        for ((router, job), _) in runs.iter().filter(|(_, count)| **count > 1) {
             if self.sim_routers[*router].jobs[*job].job_type == LOAD_TYPE {
                 violations.push(format!("load {job} of router {router} ran at two engines"));
             }
