--- a/crates/router/tests/accord.rs
+++ b/crates/router/tests/accord.rs
@@ -93,7 +93,7 @@
     let (fleet, _) = fleet("cut");
     let (zone, all) = (EndpointSet::zone("z0"), EndpointSet::All);
     let within = (zone.clone(), zone.clone(), Way::default());
-    fleet.relays.set_ways([(zone.clone(), all.clone(), Way::CUT), (all, zone, Way::CUT), within]);
+    fleet.relays.set_conditions([(zone.clone(), all.clone(), Way::CUT), (all, zone, Way::CUT), within]);
     // Routers 0 and 3 are in that zone.
     fleet.wait_until("the lapse on the side without a majority", |fleet| {
         [0, 3].iter().all(|router| state_in_force(fleet, *router).is_none())
@@ -101,7 +101,7 @@
     fleet.wait_until("a state that the other side acts on", |fleet| {
         [1, 2, 4, 5].iter().all(|router| state_in_force(fleet, *router).is_some())
     });
-    fleet.relays.heal();
+    fleet.relays.remove_all_conditions();
     fleet.wait_until("a state that all routers act on again", |fleet| {
         (0..ROUTERS).all(|router| state_in_force(fleet, router).is_some())
     });
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -30,7 +30,7 @@
     fleet.run_schedule(schedule);
     fleet.wait_for_drains();
     let tally = fleet.verdict().unwrap_or_else(|fault| panic!("{fault}\nafter {schedule:?}"));
-    assert!(tally.done > 100 && tally.asked >= tally.done, "{tally:?}");
+    assert!(tally.done > 100 && tally.recorded_jobs >= tally.done, "{tally:?}");
     tally
 }
 
@@ -38,7 +38,7 @@
 fn all_faults_of_a_schedule_in_sequence_break_no_rule() {
     for seed in [1, 2] {
         let tally = run(&format!("seed-{seed}"), &Schedule::draw(seed, 10, 10));
-        assert!(tally.to_cold > 0, "cold engines got jobs: {tally:?}");
+        assert!(tally.cold_engine_dispatches > 0, "cold engines got jobs: {tally:?}");
     }
 }
 
@@ -47,7 +47,7 @@
     let faults = vec![(Fault::Replace(vec![0, 1, 2, 3, 4, 5]), 50), (Fault::Kill((0..7).collect()), 2_500)];
     let second_kill = vec![(Fault::Kill((3..10).collect()), 1_000)];
     let tally = run("herd", &Schedule { seed: 0, faults: [faults, second_kill].concat() });
-    assert!(tally.to_cold > 0, "{tally:?}");
+    assert!(tally.cold_engine_dispatches > 0, "{tally:?}");
 }
 
 #[test]
@@ -58,7 +58,7 @@
         (Fault::Kill((10..30).collect()), 2_500),
     ];
     let tally = run_with("thirty", Layout::single_zone(30, 4), &Schedule { seed: 0, faults });
-    assert!(tally.to_cold > 50, "cold engines got jobs: {tally:?}");
+    assert!(tally.cold_engine_dispatches > 50, "cold engines got jobs: {tally:?}");
 }
 
 /// Guards against a verdict that can't tell a stall of the test rig from one of the router: the rig's stall
--- a/crates/standins/examples/soak.rs
+++ b/crates/standins/examples/soak.rs
@@ -68,7 +68,7 @@
             continue;
         }
         match run_plan(&program, &folder, &arguments, &plan, &mut skipped) {
-            Ok(Tally { asked, done, to_cold }) => {
+            Ok(Tally { recorded_jobs: asked, done, cold_engine_dispatches: to_cold }) => {
                 println!(
                     "seed {seed}: no rule broken; {asked} asked, {done} done, {to_cold} to cold engines; {}",
                     count_kinds(&plan)
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -3,10 +3,10 @@
 
 mod effects;
 mod gossip;
-mod judge;
 mod overlap;
 mod parties;
 mod queries;
+mod rule_checks;
 mod stops;
 
 use std::collections::BTreeMap;
@@ -21,10 +21,10 @@
 use serde_json::{Value, json};
 
 use self::gossip::{gossip_arguments, write_voter_set};
-use self::judge::Observations;
-pub use self::judge::Tally;
 pub use self::overlap::PlanOutcome;
 use self::parties::{Caller, FleetEngine, RouterDiscovery, engine_entry, start_discovery};
+use self::rule_checks::Observations;
+pub use self::rule_checks::Tally;
 use crate::TEST_TIMEOUT;
 use crate::discovery::DiscoveryEvents;
 use crate::faults::{Fault, Schedule};
@@ -49,15 +49,19 @@
 
 /// Drain grace in the fleet's settings, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 4_000;
-/// Window of the cold engines' budget in the fleet's settings, in milliseconds.
-pub const FALL_MS: u64 = 2_000;
-/// How long a key waits after a load that may still run.
+/// Window over which a cold engine's budget is counted (`fallUs`) in the fleet's settings, in milliseconds.
+pub const COLD_BUDGET_WINDOW_MS: u64 = 2_000;
+/// Required pause of an order key after a load that may still run, in milliseconds.
 const TURN_GAP_MS: u64 = 300;
 /// How long a voter's lease is valid, in milliseconds.
 pub const LEASE_MS: u64 = 3_000;
+/// Factor by which a cold engine's budget exceeds its capacity, in the fleet's settings.
 const OVERLOAD_FACTOR: f64 = 2.0;
+/// Share of its full capacity that a cold engine starts with, in the fleet's settings.
 const START_CAPACITY: f64 = 0.3;
+/// How long an engine counts as cold after its start, in the fleet's settings.
 const COLD_PERIOD: Duration = Duration::from_secs(60);
+/// Number of cores of an engine.
 const ENGINE_CORES: f64 = 8.0;
 
 /// The layout of a fleet. Routers and engines are assigned to the zones in turn; callers and discovery are in
@@ -70,7 +74,7 @@
     pub zones: Vec<(String, String)>,
     /// Whether the routers gossip.
     pub gossip: bool,
-    /// How many routers vote on what all follow; the first ones do.
+    /// Number of voters: the first routers, which agree on what all routers follow.
     pub voters: usize,
     /// Whether loads keep their order; all loads of one router have one key.
     pub ordered: bool,
@@ -166,7 +170,7 @@
                 (json!(layout.zone(router).0), json!(layout.zone_names()));
             let obligations = &mut settings["obligations"];
             (obligations["fallUs"], obligations["stopSendingWithinUs"]) =
-                (json!(FALL_MS * 1000), json!(DRAIN_GRACE_MS * 1000));
+                (json!(COLD_BUDGET_WINDOW_MS * 1000), json!(DRAIN_GRACE_MS * 1000));
             (obligations["overloadFactor"], obligations["startCapacity"]) =
                 (json!(OVERLOAD_FACTOR), json!(START_CAPACITY));
             (obligations["coldUs"], config["limits"]["memory_mb"]) =
@@ -191,7 +195,7 @@
                     process
                 }
                 Some(Err(error)) => {
-                    eprintln!("{error}; these troubles are left out");
+                    eprintln!("{error}; troubles that make system calls fail are left out");
                     RouterProcess::start_with_log_pipe(None, program, folder, &name, &config_text)
                 }
                 None => RouterProcess::start_with_arguments(program, &arguments, folder, &name, &config_text),
@@ -239,9 +243,9 @@
                     *self.engines.lock().unwrap()[*engine].mode.lock().unwrap() = EngineMode::Fails;
                 }
                 Fault::Lay(ways, millis) => {
-                    self.relays.set_ways(ways.iter().cloned());
+                    self.relays.set_conditions(ways.iter().cloned());
                     thread::sleep(Duration::from_millis(*millis));
-                    self.relays.heal();
+                    self.relays.remove_all_conditions();
                 }
                 Fault::Reset(from, to) => _ = self.relays.reset(from, to),
                 Fault::Halt(routers, millis) => self.pause(routers, *millis),
@@ -252,7 +256,7 @@
 
     /// Suspends routers for this many milliseconds.
     fn pause(&self, routers: &[usize], millis: u64) {
-        self.observations.lock().unwrap().paused.extend(routers);
+        self.observations.lock().unwrap().suspended.extend(routers);
         routers.iter().for_each(|router| self.signal(*router, Signal::STOP));
         thread::sleep(Duration::from_millis(millis));
         routers.iter().for_each(|router| self.signal(*router, Signal::CONT));
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Adds cold engines.
+    /// Adds cold engines and announces them as serving.
     fn add_cold_engines(&self, count: usize) {
         let mut engines = self.engines.lock().unwrap();
         let first = engines.len();
@@ -325,7 +329,7 @@
             let (zone, region) = self.layout.zone(number);
             self.relays.add_party(&format!("s-{number}"), zone, region);
             engines.push(parties::start_engine(number, self.observations.clone()));
-            self.observations.lock().unwrap().cold.insert(number, Instant::now());
+            self.observations.lock().unwrap().cold_since.insert(number, Instant::now());
         }
         drop(engines);
         let new: Vec<usize> = (first..first + count).collect();
@@ -439,12 +443,12 @@
         self.wait_for_service()?;
         self.stopped.store(true, Ordering::Relaxed);
         for caller in self.callers.drain(..) {
-            caller.join().map_err(|_| "a caller met what no answer may be".to_owned())?;
+            caller.join().map_err(|_| "a caller received a malformed answer".to_owned())?;
         }
         for router in &self.routers {
             let router = router.lock().unwrap();
             if !router.is_running() {
-                return Err(format!("{} ended by itself", router.name));
+                return Err(format!("{} ended unexpectedly", router.name));
             }
             if let Some(line) =
                 router.log_text().lines().find(|line| line.contains("\"event\":\"violation\""))
@@ -453,19 +457,24 @@
             }
         }
         let mut observations = self.observations.lock().unwrap();
-        observations.had_ways = self.relays.ever_had_ways();
-        judge::check_all_rules(&observations).map_err(|violation| {
+        observations.had_relay_conditions = self.relays.ever_had_conditions();
+        rule_checks::check_all_rules(&observations).map_err(|violation| {
             let lines = violation.jobs.iter().flat_map(|id| self.log_lines_of_job(id));
-            let kills = format!("killed behind the order to end: {:?}", observations.killed_while_ending);
-            let rests = format!("the relays stood: {:?}; now: {:?}", self.relays.rests(), Instant::now());
-            format!("{}\n{}\n{kills}\n{rests}", violation.message, lines.collect::<Vec<_>>().join("\n"))
+            let kills =
+                format!("killed after the terminating signal: {:?}", observations.killed_after_termination);
+            let stalls = format!("the relays stood: {:?}; now: {:?}", self.relays.stalls(), Instant::now());
+            format!("{}\n{}\n{kills}\n{stalls}", violation.message, lines.collect::<Vec<_>>().join("\n"))
         })?;
         let done = observations.answers.iter().filter(|job| matches!(job.result, Ok(true))).count();
-        let cold =
-            observations.arrivals.iter().filter(|post| observations.cold.contains_key(&post.engine)).count();
-        Ok(Tally { asked: observations.answers.len(), done, to_cold: cold })
+        let cold_engine_dispatches = observations
+            .arrivals
+            .iter()
+            .filter(|arrival| observations.cold_since.contains_key(&arrival.engine))
+            .count();
+        Ok(Tally { recorded_jobs: observations.answers.len(), done, cold_engine_dispatches })
     }
 
+    /// Waits until every router has done a job that was sent from now on.
     fn wait_for_service(&self) -> Result<(), String> {
         let (from, deadline) = (Instant::now(), Instant::now() + TEST_TIMEOUT);
         let serves = |observations: &Observations, router: usize| {
@@ -477,7 +486,10 @@
         for (router, process) in self.routers.iter().enumerate() {
             while !serves(&self.observations.lock().unwrap(), router) {
                 if Instant::now() > deadline {
-                    return Err(format!("{} does not serve in the end", process.lock().unwrap().name));
+                    return Err(format!(
+                        "{} did not serve a job after the schedule",
+                        process.lock().unwrap().name
+                    ));
                 }
                 thread::sleep(Duration::from_millis(10));
             }
--- a/crates/standins/src/fleet/effects.rs
+++ b/crates/standins/src/fleet/effects.rs
@@ -16,9 +16,9 @@
 /// Distinguishes the requests of misbehaving clients.
 static NEXT_MISBEHAVING_CLIENT: AtomicU64 = AtomicU64::new(1);
 /// Distinguishes clients that leave their loads.
-static NEXT_LEAVER: AtomicU64 = AtomicU64::new(parties::FIRST_LEAVER);
-/// A crowd has left this long after its span.
-const CROWD_CLOSE_SLACK: Duration = Duration::from_secs(1);
+static NEXT_ABANDONING_CALLER: AtomicU64 = AtomicU64::new(parties::FIRST_ABANDONING_CALLER);
+/// Time after the span of a [`Trouble::Crowd`] by which its connections are closed.
+const IDLE_CLIENTS_CLOSE_SLACK: Duration = Duration::from_secs(1);
 /// Interval at which the end of a process is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -27,7 +27,7 @@
     pub(super) fn begin_trouble(&self, trouble: &Trouble, processes: &[usize]) -> bool {
         match trouble {
             Trouble::Stand { router, .. } => {
-                self.observations.lock().unwrap().paused.push(*router);
+                self.observations.lock().unwrap().suspended.push(*router);
                 self.signal(*router, Signal::STOP);
             }
             Trouble::Kill { router, .. } => self.kill_router(*router),
@@ -60,7 +60,9 @@
                     self.kill_router(*router);
                 }
             }
-            Trouble::Cut { router, engine, .. } => self.relays.set_ways(cut_both_ways(*router, *engine)),
+            Trouble::Cut { router, engine, .. } => {
+                self.relays.set_conditions(cut_both_ways(*router, *engine))
+            }
             Trouble::Reset { router } => {
                 (0..self.engine_count()).for_each(|engine| {
                     let engine = EndpointSet::party(&format!("s-{engine}"));
@@ -80,8 +82,8 @@
                 self.observations
                     .lock()
                     .unwrap()
-                    .crowded_until
-                    .insert(*router, Instant::now() + span + CROWD_CLOSE_SLACK);
+                    .many_idle_clients_until
+                    .insert(*router, Instant::now() + span + IDLE_CLIENTS_CLOSE_SLACK);
                 thread::spawn(move || parties::hold_idle_connections(at, count, span));
             }
             Trouble::Log { router, reading, .. } => {
@@ -110,6 +112,7 @@
         true
     }
 
+    /// Ends a trouble that has begun, so that its effects cease.
     pub(super) fn end_trouble(&self, trouble: &Trouble, processes: &[usize], starter: &Starter) {
         match trouble {
             Trouble::Stand { router, .. } => self.signal(*router, Signal::CONT),
@@ -126,7 +129,9 @@
             }
             Trouble::Short { router, .. } => self.preloads[router].limit_transfers(0),
             Trouble::Clock { router, .. } => self.preloads[router].step_clock(Duration::ZERO, false),
-            Trouble::Cut { router, engine, .. } => self.relays.remove_ways(cut_both_ways(*router, *engine)),
+            Trouble::Cut { router, engine, .. } => {
+                self.relays.remove_conditions(cut_both_ways(*router, *engine))
+            }
             Trouble::Log { router, .. } => {
                 self.routers[*router].lock().unwrap().read_log(LogReadMode::AtOnce);
             }
@@ -138,11 +143,11 @@
 
     fn reload(&self, router: usize, times: usize) -> bool {
         let process = self.routers[router].lock().unwrap();
-        let runs = process.id().is_some();
-        if runs {
+        let is_started = process.id().is_some();
+        if is_started {
             (0..times).for_each(|_| process.signal(Signal::HUP));
         }
-        runs
+        is_started
     }
 
     fn restore_config(&self, router: usize) {
@@ -174,14 +179,14 @@
     fn start_abandoned_loads(&self) {
         for router in 0..self.routers.len() {
             let (at, observations) = (self.address(router), self.observations.clone());
-            let turn = NEXT_LEAVER.fetch_add(1, Ordering::Relaxed) as usize;
+            let turn = NEXT_ABANDONING_CALLER.fetch_add(1, Ordering::Relaxed) as usize;
             let caller = router + self.routers.len() * turn;
             thread::spawn(move || parties::abandon_load(at, caller, &observations));
         }
     }
 
-    /// Announces that the engine drains; it works on. Before that, clients of all routers have started loads
-    /// that run for a while, some of them at this engine; they leave after the announcement.
+    /// Announces that the engine drains; it continues its work. Before that, clients of all routers have
+    /// started loads that run for a while, some of them at this engine; they leave after the announcement.
     fn start_drain(&self, engine: usize) {
         self.start_abandoned_loads();
         self.add_cold_engines(1);
@@ -190,7 +195,7 @@
         self.observations.lock().unwrap().drained.insert(engine, Instant::now());
     }
 
-    /// Makes the engine refuse new connections and, if asked, resets its open ones.
+    /// Makes the engine refuse new connections and, if `resets` is set, resets its open ones.
     fn refuse_connections(&self, engine: usize, resets: bool) {
         self.relays.refuse_connections(&format!("s-{engine}"));
         if resets {
--- a/crates/standins/src/fleet/overlap.rs
+++ b/crates/standins/src/fleet/overlap.rs
@@ -9,7 +9,7 @@
 use super::Fleet;
 use crate::troubles::{Plan, Timed, Trouble};
 
-/// Steps of a plan that are later than this are reported.
+/// Steps of a plan that are carried out later than this after they were due are reported.
 const MAX_STEP_DELAY: Duration = Duration::from_millis(50);
 
 /// How the run of a plan went, apart from the rules.
@@ -17,7 +17,7 @@
 pub struct PlanOutcome {
     /// The kinds of troubles that could not begin.
     pub skipped: BTreeSet<String>,
-    /// Descriptions of steps that came late.
+    /// Descriptions of the steps that were carried out late.
     pub late_steps: Vec<String>,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Starter {
-    /// Starts a router anew and waits until it was started.
+    /// Starts a router and waits until its process was started.
     pub fn start_router(&self, router: usize) {
         let (done, started) = mpsc::channel();
         let _ = self.0.send(Start { router, done });
@@ -80,8 +80,8 @@
     pub fleet: &'a Fleet,
     start: Instant,
     claims: Mutex<Claims>,
-    /// Troubles by the state that they set. The last one is in force; when it ends, the one before it applies
-    /// again.
+    /// Troubles in force, with their numbers in the plan, by the key of the state that they set. The last one
+    /// is in force; when it ends, the one before it applies again.
     settings: Mutex<BTreeMap<String, Vec<(usize, Trouble)>>>,
     outcome: Mutex<PlanOutcome>,
 }
@@ -96,10 +96,10 @@
         if let Trouble::Stop { router, orders, .. } = trouble {
             self.run_stop(*router, orders, begun, starter);
         } else if self.begin(number, trouble, &routers) {
-            self.record_late(trouble, "was begun", begun + trouble.beginning());
-            let over = begun + Duration::from_millis(trouble.span());
-            sleep_until(over);
-            self.record_late(trouble, "ended", over);
+            self.record_late(trouble, "had begun", begun + trouble.time_to_begin());
+            let due = begun + Duration::from_millis(trouble.span());
+            sleep_until(due);
+            self.record_late(trouble, "ended", due);
             self.end(number, trouble, &routers, starter);
         } else {
             self.skip(trouble);
@@ -112,7 +112,7 @@
     /// them is free, or if an engine was drained already.
     fn claim(&self, trouble: &Trouble) -> Option<Vec<usize>> {
         let mut claims = self.claims.lock().unwrap();
-        let (routers, engines) = (trouble.processes(), trouble.drains());
+        let (routers, engines) = (trouble.affected_processes(), trouble.drained_engines());
         let free: Vec<usize> =
             routers.iter().copied().filter(|router| !claims.routers.contains(router)).collect();
         if free.is_empty() != routers.is_empty() || engines.iter().any(|at| claims.engines.contains(at)) {
@@ -125,21 +125,21 @@
 
     /// Begins a trouble. Returns whether it could begin.
     fn begin(&self, number: usize, trouble: &Trouble, routers: &[usize]) -> bool {
-        let Some(setting) = trouble.setting() else { return self.fleet.begin_trouble(trouble, routers) };
+        let Some(state_key) = trouble.state_key() else { return self.fleet.begin_trouble(trouble, routers) };
         let mut in_force = self.settings.lock().unwrap();
         let begun = self.fleet.begin_trouble(trouble, routers);
         if begun {
-            in_force.entry(setting).or_default().push((number, trouble.clone()));
+            in_force.entry(state_key).or_default().push((number, trouble.clone()));
         }
         begun
     }
 
     fn end(&self, number: usize, trouble: &Trouble, routers: &[usize], starter: &Starter) {
-        let Some(setting) = trouble.setting() else {
+        let Some(state_key) = trouble.state_key() else {
             return self.fleet.end_trouble(trouble, routers, starter);
         };
         let mut in_force = self.settings.lock().unwrap();
-        let all = in_force.entry(setting).or_default();
+        let all = in_force.entry(state_key).or_default();
         all.retain(|(other, _)| *other != number);
         match all.last() {
             Some((_, earlier)) => _ = self.fleet.begin_trouble(earlier, &[]),
@@ -151,7 +151,7 @@
         self.outcome.lock().unwrap().skipped.insert(trouble.kind());
     }
 
-    /// Records a step that came later than `MAX_STEP_DELAY` after it was due.
+    /// Records a step that was carried out later than `MAX_STEP_DELAY` after it was due.
     pub fn record_late(&self, trouble: &Trouble, step: &str, due: Instant) {
         let late = Instant::now().saturating_duration_since(due);
         if late > MAX_STEP_DELAY {
--- a/crates/standins/src/fleet/parties.rs
+++ b/crates/standins/src/fleet/parties.rs
@@ -10,10 +10,10 @@
 
 use serde_json::{Value, json};
 
-use super::judge::{
-    CALLER_DIGITS, CLOSE_CROSSING_LIMIT, JobRecord, Observations, QueryArrival, caller_of, is_load,
-};
 use super::queries::{QueryEnd, QueryStatus};
+use super::rule_checks::{
+    CALLER_DIGITS, CLOSED_CONNECTION_RESEND_LIMIT, JobRecord, Observations, QueryArrival, caller_of, is_load,
+};
 use super::{ANSWER_LIMIT, CLIENT_WAIT_MS, JOB_COST_MS, Layout};
 use crate::clients::{Client, receive_answer};
 use crate::discovery::{DiscoveryEvents, roster_member};
@@ -21,21 +21,24 @@
 use crate::relays::Relays;
 use crate::troubles::{DiscoveryMode, EngineMode, MisbehavingClient};
 
-/// First number of callers that leave their loads; each router has fewer other callers than this.
-pub(super) const FIRST_LEAVER: u64 = 16;
-/// How long a load runs whose client leaves: longer than any client may wait.
+/// First number, among the callers of one router, of those that leave their loads. Each router has fewer
+/// other callers than this.
+pub(super) const FIRST_ABANDONING_CALLER: u64 = 16;
+/// Run time of a load whose client leaves: longer than any client may wait.
 const ABANDONED_RUN_TIME: Duration = Duration::from_millis(CLIENT_WAIT_MS as u64 + 3_000);
-/// How long one query in eight runs, so that some query is always outstanding when a fault comes.
+/// Run time of one query in eight, so that some query is always outstanding when a fault begins.
 const SLOW_RUN_TIME: Duration = Duration::from_millis(900);
 /// A `ping` with message number 0.
 const PING: [u8; 10] = [0x94, 0x00, 0x00, 0xa4, b'p', b'i', b'n', b'g', 0x91, 0x80];
-/// How long a misbehaving client idles, or waits for an answer that does not come.
+/// How long a misbehaving client stays connected, or waits for an answer that is not sent.
 const MISBEHAVING_PAUSE: Duration = Duration::from_millis(700);
-/// How long clients of a terminated router wait for an answer, in milliseconds, and pause between requests.
+/// How long the clients that stay connected to a terminated router wait for an answer, in milliseconds.
 const STAYING_WAIT_MS: u32 = 3_000;
+/// How long these clients pause between two requests.
 const STAYING_PAUSE: Duration = Duration::from_millis(15);
-/// When a client leaves its load, and a job number whose query runs for a while.
+/// Time after its request at which a client leaves its load.
 const LEAVE_DELAY: Duration = Duration::from_millis(300);
+/// A job number whose query runs for a while, by its last digit.
 const SLOW_JOB_NUMBER: u64 = 0xa;
 /// A deadline that leaves hardly any time, in milliseconds.
 const TINY_DEADLINE_MS: u32 = 15;
@@ -70,14 +73,14 @@
     };
     if is_post {
         observations.arrivals.push(query_arrival(engine, call));
-        let runs = run_time(&id, observations.routers);
-        observations.queries.start(engine, &id, now, runs);
-        if !runs.is_zero() {
+        let run_time = run_time(&id, observations.routers);
+        observations.queries.start(engine, &id, now, run_time);
+        if !run_time.is_zero() {
             return response(202, &[], "");
         }
     }
     let is_delete = call.line.starts_with("DELETE");
-    // An engine that answers a DELETE with an error has not ended the query.
+    // An engine that answers a DELETE with an error does not end the query.
     if is_delete && mode != EngineMode::Fails {
         observations.queries.end(engine, &id, now, QueryEnd::Deleted);
     }
@@ -106,10 +109,10 @@
     call.line.starts_with("GET /load") || call.line.starts_with("GET /-/ok")
 }
 
-/// How long a query runs: one in eight for a while, those that their clients leave for longer than clients
-/// may wait, all others no time.
+/// The run time of a query: one query in eight runs for a while, or for longer than clients may wait if its
+/// client leaves it; all others end at once.
 fn run_time(id: &str, routers: usize) -> Duration {
-    let is_left = is_load(id) && caller_of(id) as u64 / routers.max(1) as u64 >= FIRST_LEAVER;
+    let is_left = is_load(id) && caller_of(id) as u64 / routers.max(1) as u64 >= FIRST_ABANDONING_CALLER;
     match id.ends_with(['3', 'a']) {
         true if is_left => ABANDONED_RUN_TIME,
         true => SLOW_RUN_TIME,
@@ -144,8 +147,8 @@
     member
 }
 
-/// One router's discovery, which can move with a new configuration. It lists the engines at their relay
-/// addresses for that router.
+/// One router's discovery, which can move to another address with a new configuration. It lists the engines
+/// at their relay addresses for that router.
 pub(super) struct RouterDiscovery {
     pub events: DiscoveryEvents,
     pub open: Arc<AtomicBool>,
@@ -187,8 +190,8 @@
 }
 
 /// Runs a caller: it sends one job after another, over a new connection if the old one ended; one job in ten
-/// is run-once. While its router has a crowd, a job whose connection turns out closed within the protocol's
-/// 50 ms is sent again once, under the same id.
+/// is run-once. While its router has many idle clients, a job whose connection turns out closed within the
+/// protocol's 50 ms is sent again once, under the same id.
 pub(super) fn run_caller(caller: Caller, observations: &Mutex<Observations>, stopped: &AtomicBool) {
     let (mut connection, mut number, mut count) = (None, 0, 0_u64);
     let mut connected_at = Instant::now();
@@ -217,9 +220,13 @@
             (caller.router, Duration::from_millis(CLIENT_WAIT_MS.into()), sent_at.elapsed());
         if result.is_err() {
             connection = None;
-            let is_crowded =
-                observations.lock().unwrap().crowded_until.get(&router).is_some_and(|until| sent_at < *until);
-            if is_crowded && !is_resent && elapsed <= CLOSE_CROSSING_LIMIT {
+            let has_many_idle_clients = observations
+                .lock()
+                .unwrap()
+                .many_idle_clients_until
+                .get(&router)
+                .is_some_and(|until| sent_at < *until);
+            if has_many_idle_clients && !is_resent && elapsed <= CLOSED_CONNECTION_RESEND_LIMIT {
                 resent_id = Some(id);
                 continue;
             }
--- a/crates/standins/src/fleet/queries.rs
+++ b/crates/standins/src/fleet/queries.rs
@@ -13,6 +13,7 @@
     done_at: Instant,
     /// When it was polled last.
     last_polled: Instant,
+    /// When and how the query ended.
     ended: Option<(Instant, QueryEnd)>,
 }
 
@@ -21,7 +22,9 @@
 pub(super) enum QueryEnd {
     /// The engine wrote an answer that reports the end.
     Written,
+    /// The query was given up by DELETE.
     Deleted,
+    /// The engine ended the query because it was not polled.
     Unasked,
 }
 
@@ -35,8 +38,8 @@
 }
 
 impl Query {
-    pub fn new(now: Instant, runs: Duration) -> Self {
-        Self { done_at: now + runs, last_polled: now, ended: None }
+    pub fn new(now: Instant, run_time: Duration) -> Self {
+        Self { done_at: now + run_time, last_polled: now, ended: None }
     }
 
     /// Handles a complete call for the query.
@@ -57,6 +60,7 @@
         self.ended.get_or_insert((now, end));
     }
 
+    /// Ends the query if it was not polled for too long.
     fn expire(&mut self, now: Instant) {
         if self.ended.is_none() && now >= self.last_polled + UNPOLLED_QUERY_TIMEOUT {
             self.ended = Some((self.last_polled + UNPOLLED_QUERY_TIMEOUT, QueryEnd::Unasked));
@@ -79,9 +83,9 @@
 pub(super) struct Queries(HashMap<(usize, String), Query>);
 
 impl Queries {
-    /// Starts a query that takes this long. A query that the engine already has goes on.
-    pub fn start(&mut self, engine: usize, id: &str, now: Instant, runs: Duration) {
-        self.0.entry((engine, id.to_owned())).or_insert_with(|| Query::new(now, runs));
+    /// Starts a query that takes this long. A query that the engine already has stays as it is.
+    pub fn start(&mut self, engine: usize, id: &str, now: Instant, run_time: Duration) {
+        self.0.entry((engine, id.to_owned())).or_insert_with(|| Query::new(now, run_time));
     }
 
     /// Handles a complete call for a query.
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/rule_checks.rs
@@ -1,4 +1,5 @@
-//! The rules, checked over all processes together from what engines and callers observed.
+//! Checks the rules that a fleet of routers must keep (answers, repetitions, draining and cold engines, order
+//! of loads, deadlines) on what the stand-in engines and callers of all routers observed.
 
 use std::collections::HashMap;
 use std::io;
@@ -6,20 +7,23 @@
 
 use super::queries::Queries;
 use super::{
-    ANSWER_LIMIT, COLD_PERIOD, DRAIN_GRACE_MS, ENGINE_CORES, FALL_MS, JOB_COST_MS, OVERLOAD_FACTOR,
-    START_CAPACITY,
+    ANSWER_LIMIT, COLD_BUDGET_WINDOW_MS, COLD_PERIOD, DRAIN_GRACE_MS, ENGINE_CORES, JOB_COST_MS,
+    OVERLOAD_FACTOR, START_CAPACITY,
 };
 
-/// A terminated router still accepts requests for at least this long.
-const ACCEPTING_AFTER_END: Duration = Duration::from_millis(200);
-/// By the protocol document, requests on open connections may come for this long after a terminating signal.
-const OPEN_CONNECTIONS_AFTER_END: Duration = Duration::from_millis(600);
-/// A request that crosses a close within this time is sent again.
-pub(super) const CLOSE_CROSSING_LIMIT: Duration = Duration::from_millis(50);
-/// No attempt begins later than this after its client left; and what a slow machine may add.
+/// A router accepts requests for at least this long after a terminating signal.
+const MIN_ACCEPT_TIME_AFTER_TERMINATION: Duration = Duration::from_millis(200);
+/// By the protocol document, requests on open connections may be sent for this long after a terminating
+/// signal.
+const OPEN_CONNECTION_TIME_AFTER_TERMINATION: Duration = Duration::from_millis(600);
+/// A client sends a request again if the connection turns out closed within this time, as the router may have
+/// closed it while the request was under way.
+pub(super) const CLOSED_CONNECTION_RESEND_LIMIT: Duration = Duration::from_millis(50);
+/// A router sends no dispatch of a job later than this after the job's client left.
 const MAX_SEND_AFTER_LEAVING: Duration = Duration::from_millis(100);
+/// Additional delay that a slow machine may cause.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(900);
-/// An answer that is late by up to this much only earns nothing; after that it counts as lost.
+/// An answer that is late by up to this much is merely worth no billed value; a later one violates the rule.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// How much longer than the client's remaining time a forwarded deadline may be.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
@@ -33,25 +37,29 @@
     pub queries: Queries,
     /// When the processes of drained engines ended.
     pub engine_ends: HashMap<usize, Instant>,
-    /// Until when routers have a crowd of idle clients, and close idle connections in favour of new ones.
-    pub crowded_until: HashMap<usize, Instant>,
-    /// When clients left that wait for no answer, by job id.
+    /// Until when each router has so many idle clients that it closes idle connections in favour of new ones.
+    pub many_idle_clients_until: HashMap<usize, Instant>,
+    /// When the clients that leave without waiting for an answer left, by job id.
     pub clients_left: HashMap<String, Instant>,
     /// When each engine was announced as draining.
     pub drained: HashMap<usize, Instant>,
-    pub cold: HashMap<usize, Instant>,
-    /// When each router was killed, and when it was terminated.
+    /// When each cold engine was added.
+    pub cold_since: HashMap<usize, Instant>,
+    /// Routers that were killed, and when.
     pub killed: Vec<(usize, Instant)>,
+    /// Routers that received a terminating signal, and when.
     pub terminated: Vec<(usize, Instant)>,
-    /// When routers were killed that had been terminated before; such a kill excuses no missing answer.
-    pub killed_while_ending: Vec<(usize, Instant)>,
-    /// Whether relays delayed bytes between routers and engines, so that arrival times at engines don't show
-    /// when they were sent.
-    pub had_ways: bool,
-    /// Whether jobs of a key keep their order.
+    /// Routers that were killed after a terminating signal, and when. Such a kill does not excuse a missing
+    /// answer.
+    pub killed_after_termination: Vec<(usize, Instant)>,
+    /// Whether relays ever had conditions, which may delay bytes, so that the arrival times at engines don't
+    /// show when the bytes were sent.
+    pub had_relay_conditions: bool,
+    /// Whether the jobs of one order key run one at a time, in order.
     pub ordered: bool,
-    /// Routers that were suspended at times, and the number of routers.
-    pub paused: Vec<usize>,
+    /// Routers that were suspended at times.
+    pub suspended: Vec<usize>,
+    /// The number of routers.
     pub routers: usize,
 }
 
@@ -60,7 +68,7 @@
     pub engine: usize,
     pub id: String,
     pub at: Instant,
-    /// The remaining time that the engine was given.
+    /// The remaining time that the dispatch stated.
     pub time_left: Duration,
 }
 
@@ -69,8 +77,9 @@
     pub router: usize,
     pub id: String,
     pub at: Instant,
-    /// How long the caller waits at most, and how long it waited.
+    /// How long the caller waits at most.
     pub wait: Duration,
+    /// How long the caller waited.
     pub elapsed: Duration,
     /// How long the caller took to write the request, from `at` on.
     pub write_time: Duration,
@@ -85,9 +94,12 @@
 /// Counts of a run, with which a test checks that enough happened.
 #[derive(Debug)]
 pub struct Tally {
-    pub asked: usize,
+    /// Number of jobs that clients sent and whose answer, or its absence, was recorded.
+    pub recorded_jobs: usize,
+    /// Number of jobs answered as done.
     pub done: usize,
-    pub to_cold: usize,
+    /// Number of dispatches that arrived at cold engines.
+    pub cold_engine_dispatches: usize,
 }
 
 /// A violated rule.
@@ -104,48 +116,54 @@
     }
 }
 
-/// Rule 1: each job is answered, unless its router was killed, or was terminated some time before the job
-/// came.
+/// Each job is answered, unless its router was killed, or was terminated some time before the job was sent.
+/// Clients that are connected directly are checked by [`answered_on_open_connections`].
 fn every_job_answered(observations: &Observations) -> Result<(), Violation> {
     for JobRecord { router, id, at, connected_at, elapsed, result, .. } in
         observations.answers.iter().filter(|job| !job.is_direct)
     {
-        let killed =
+        let was_killed =
             observations.killed.iter().any(|(number, when)| number == router && when >= connected_at);
-        let past =
+        // Whether a terminating signal was sent after the connection was established, or less than
+        // `ANSWER_LIMIT` before the job was sent.
+        let is_relevant =
             |when: &Instant| when >= connected_at || at.saturating_duration_since(*when) < ANSWER_LIMIT;
-        let ended = |when: &Instant| *at >= *when + ACCEPTING_AFTER_END && past(when);
-        let ended = observations.terminated.iter().any(|(number, when)| number == router && ended(when));
-        if let (Err(error), false, false) = (result, killed, ended) {
-            let message =
-                format!("job {id} at router {router} got no answer, {elapsed:?} behind it: {error}");
+        let excuses = |when: &Instant| *at >= *when + MIN_ACCEPT_TIME_AFTER_TERMINATION && is_relevant(when);
+        let was_terminated =
+            observations.terminated.iter().any(|(number, when)| number == router && excuses(when));
+        if let (Err(error), false, false) = (result, was_killed, was_terminated) {
+            let message = format!("job {id} at router {router} got no answer within {elapsed:?}: {error}");
             return Err(Violation::for_job(id, message));
         }
     }
     Ok(())
 }
 
-/// Rule 1 for clients that go on over open connections of a terminated router. By the protocol document, such
-/// requests may come for another 0.6 s, and one that crosses the close within 50 ms is sent again. A request
-/// that was forwarded or read must be answered.
+/// Each job is answered also if its client continues to send over an open connection of a terminated router.
+/// By the protocol document, such requests may be sent for another 0.6 s, and the client sends a request
+/// again if the connection turns out closed within 50 ms. A request that was forwarded or read must be
+/// answered.
 fn answered_on_open_connections(observations: &Observations) -> Result<(), Violation> {
     for job in observations.answers.iter().filter(|job| job.is_direct) {
         let (Err(error), id) = (&job.result, &job.id) else { continue };
-        let past = |(number, when): &&(usize, Instant)| *number == job.router && *when >= job.connected_at;
-        let terminated = observations.terminated.iter().filter(past).map(|(_, when)| *when).min();
+        let is_relevant =
+            |(number, when): &&(usize, Instant)| *number == job.router && *when >= job.connected_at;
+        let terminated = observations.terminated.iter().filter(is_relevant).map(|(_, when)| *when).min();
         let forwarded = observations.arrivals.iter().any(|arrival| arrival.id == *id);
-        let in_time = terminated.is_none_or(|terminated| job.at <= terminated + OPEN_CONNECTIONS_AFTER_END);
-        let crossed = job.elapsed <= CLOSE_CROSSING_LIMIT + SCHEDULING_SLACK;
-        // When a crowd uses up the descriptors, idle connections are closed in favour of new ones at any
-        // time.
-        let is_crowded = observations.crowded_until.get(&job.router).is_some_and(|until| job.at < *until);
-        if is_crowded && !forwarded && job.elapsed <= CLOSE_CROSSING_LIMIT {
+        let in_time =
+            terminated.is_none_or(|terminated| job.at <= terminated + OPEN_CONNECTION_TIME_AFTER_TERMINATION);
+        let failed_soon = job.elapsed <= CLOSED_CONNECTION_RESEND_LIMIT + SCHEDULING_SLACK;
+        // A router whose file descriptors are used up by idle clients may close idle connections in favour of
+        // new ones at any time.
+        let has_many_idle_clients =
+            observations.many_idle_clients_until.get(&job.router).is_some_and(|until| job.at < *until);
+        if has_many_idle_clients && !forwarded && job.elapsed <= CLOSED_CONNECTION_RESEND_LIMIT {
             continue;
         }
-        if forwarded || in_time || !crossed {
-            let behind = terminated.map(|terminated| job.at.saturating_duration_since(terminated));
+        if forwarded || in_time || !failed_soon {
+            let since_termination = terminated.map(|terminated| job.at.saturating_duration_since(terminated));
             let message = format!(
-                "job {id} at router {}, sent {behind:?} behind the order to end, forwarded: {forwarded}, got no answer after {:?}: {error}",
+                "job {id} at router {}, sent {since_termination:?} after the terminating signal, forwarded: {forwarded}, got no answer after {:?}: {error}",
                 job.router, job.elapsed
             );
             return Err(Violation::for_job(id, message));
@@ -154,20 +172,21 @@
     Ok(())
 }
 
-/// Rule 2: a run-once job arrives at one engine at most, as no engine here declines a job without running it.
+/// A run-once job, which is a load here, is dispatched at most once, as no engine here proves that it never
+/// ran the query.
 fn run_once_jobs_sent_once(observations: &Observations) -> Result<(), Violation> {
     let mut arrival_counts: HashMap<&str, usize> = HashMap::new();
     for QueryArrival { id, .. } in observations.arrivals.iter().filter(|arrival| is_load(&arrival.id)) {
         let count = arrival_counts.entry(id).or_default();
         *count += 1;
         if *count > 1 {
-            return Err(Violation::for_job(id, format!("run-once job {id} came to engines twice")));
+            return Err(Violation::for_job(id, format!("run-once job {id} arrived at engines twice")));
         }
     }
     Ok(())
 }
 
-/// Rule 3: no job arrives at an engine after its drain grace.
+/// No job arrives at an engine later than the drain grace after the engine was announced as draining.
 fn nothing_sent_after_drain_grace(observations: &Observations) -> Result<(), Violation> {
     let late = observations.arrivals.iter().find(|arrival| {
         let announced = observations.drained.get(&arrival.engine);
@@ -176,15 +195,15 @@
         })
     });
     late.map_or(Ok(()), |QueryArrival { engine, id, .. }| {
-        Err(Violation::for_job(id, format!("job {id} came to engine {engine} after its grace")))
+        Err(Violation::for_job(id, format!("job {id} arrived at engine {engine} after its drain grace")))
     })
 }
 
-/// Rule 4: a cold engine gets no more work in any window than its budget, from all routers together. Its
-/// capacity rises linearly; the square root of the budget is allowed on top for jobs that arrive late on a
-/// slow machine.
+/// All routers together send a cold engine no more work than its budget in any window of
+/// `COLD_BUDGET_WINDOW_MS`. The engine's capacity rises linearly from `START_CAPACITY`; the square root of
+/// the budget is allowed on top for jobs that arrive late on a slow machine.
 fn cold_engines_within_budget(observations: &Observations) -> Result<(), Violation> {
-    for (engine, start) in &observations.cold {
+    for (engine, start) in &observations.cold_since {
         let at: Vec<Instant> = observations
             .arrivals
             .iter()
@@ -194,15 +213,16 @@
         for (first_index, first) in at.iter().enumerate() {
             let within = at[first_index..]
                 .iter()
-                .take_while(|at| at.duration_since(*first).as_millis() < u128::from(FALL_MS));
+                .take_while(|at| at.duration_since(*first).as_millis() < u128::from(COLD_BUDGET_WINDOW_MS));
             let count = within.count();
             let progress =
                 (first.saturating_duration_since(*start).as_secs_f64() / COLD_PERIOD.as_secs_f64()).min(1.0);
             let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * progress;
-            let budget = OVERLOAD_FACTOR * capacity * ENGINE_CORES * FALL_MS as f64 / JOB_COST_MS as f64;
+            let budget =
+                OVERLOAD_FACTOR * capacity * ENGINE_CORES * COLD_BUDGET_WINDOW_MS as f64 / JOB_COST_MS as f64;
             if count as f64 > budget + budget.sqrt() {
                 let message =
-                    format!("{count} jobs in a window at cold engine {engine}, {budget:.1} are its budget");
+                    format!("{count} jobs in a window at cold engine {engine}, whose budget is {budget:.1}");
                 return Err(Violation { message, jobs: Vec::new() });
             }
         }
@@ -210,7 +230,7 @@
     Ok(())
 }
 
-/// Rule 5: all loads of a router have one key, and none arrives at an engine while an earlier one is
+/// All loads of a router have one order key, and none arrives at an engine while an earlier one is
 /// outstanding. A load is outstanding from its arrival until its end was written, it was deleted, it was not
 /// polled for 2 s, after which its engine ends it, or its engine's process ended. A router that was killed or
 /// terminated in between knows nothing of earlier loads.
@@ -227,12 +247,12 @@
         let between = |(number, when): &(usize, Instant)| {
             *number == router && *when >= before.at && *when <= arrival.at
         };
-        let kills = observations.killed.iter().chain(&observations.killed_while_ending);
+        let kills = observations.killed.iter().chain(&observations.killed_after_termination);
         let restarted = kills.chain(&observations.terminated).any(between);
         if ended_at > arrival.at && !engine_has_ended && !restarted {
             let since = |at: Instant| at.saturating_duration_since(before.at);
             let message = format!(
-                "load {} of router {router} came to engine {} while {} was out at engine {}: {:?} behind it, which had {:?}, was asked for last at {:?} and was over at {:?} ({end:?}); the engine drained at {:?}",
+                "load {} of router {router} arrived at engine {} while load {} was outstanding at engine {}: it arrived {:?} after the earlier load, which had {:?} left, was polled last after {:?} and ended after {:?} ({end:?}); the earlier load's engine drained after {:?}",
                 arrival.id,
                 arrival.engine,
                 before.id,
@@ -249,7 +269,7 @@
     Ok(())
 }
 
-/// No attempt is sent for a client that has left.
+/// No dispatch is sent for a client that has left.
 fn nothing_sent_for_departed_clients(observations: &Observations) -> Result<(), Violation> {
     let late = |arrival: &&QueryArrival| {
         let left = observations.clients_left.get(&arrival.id);
@@ -257,24 +277,25 @@
             arrival.at.saturating_duration_since(*left) > MAX_SEND_AFTER_LEAVING + SCHEDULING_SLACK
         })
     };
-    match observations.arrivals.iter().filter(|_| !observations.had_ways).find(late) {
-        Some(arrival) => {
-            Err(Violation::for_job(&arrival.id, format!("job {} came after its client went", arrival.id)))
-        }
+    match observations.arrivals.iter().filter(|_| !observations.had_relay_conditions).find(late) {
+        Some(arrival) => Err(Violation::for_job(
+            &arrival.id,
+            format!("job {} arrived at an engine after its client left", arrival.id),
+        )),
         None => Ok(()),
     }
 }
 
-/// The deadline that an engine is given is no longer than the client's remaining time.
+/// The time that a dispatch grants is no longer than the client's remaining time.
 fn deadlines_not_extended(observations: &Observations) -> Result<(), Violation> {
     let jobs: HashMap<&str, &JobRecord> =
         observations.answers.iter().map(|job| (job.id.as_str(), job)).collect();
-    for arrival in observations.arrivals.iter().filter(|_| !observations.had_ways) {
+    for arrival in observations.arrivals.iter().filter(|_| !observations.had_relay_conditions) {
         let Some(job) = jobs.get(arrival.id.as_str()) else { continue };
         let left = job.wait.saturating_sub(arrival.at.saturating_duration_since(job.at));
         if arrival.time_left > left + DEADLINE_SLACK + SCHEDULING_SLACK.min(job.wait / 10) {
             let message = format!(
-                "job {} was sent with {:?}, its client had {left:?}: it began to write at {:?}, took {:?}, and the job came to engine {} at {:?}",
+                "job {} was sent with {:?}, its client had {left:?}: it began to write at {:?}, took {:?}, and the job arrived at engine {} at {:?}",
                 arrival.id, arrival.time_left, job.at, job.write_time, arrival.engine, arrival.at
             );
             return Err(Violation::for_job(&arrival.id, message));
@@ -296,9 +317,11 @@
     deadlines_not_extended(observations)
 }
 
-/// Rule 1: answers come in time, except at suspended routers and when relays delayed traffic.
+/// Answers are sent in time, except at suspended routers and when relays delayed traffic.
 fn answers_in_time(observations: &Observations) -> Result<(), Violation> {
-    let is_counted = |job: &&JobRecord| !observations.had_ways && !observations.paused.contains(&job.router);
+    let is_counted = |job: &&JobRecord| {
+        !observations.had_relay_conditions && !observations.suspended.contains(&job.router)
+    };
     let late =
         |job: &&JobRecord| job.result.is_ok() && job.elapsed > job.wait + ANSWER_SLACK + SCHEDULING_SLACK;
     match observations.answers.iter().filter(is_counted).find(late) {
@@ -317,6 +340,8 @@
 /// Digits of the caller's number in a job's id, after the first character.
 pub(super) const CALLER_DIGITS: usize = 5;
 
+/// Whether a job is a load, which is run-once. The callers start the ids of loads, and of no other jobs, with
+/// `f`.
 pub(super) fn is_load(id: &str) -> bool {
     id.starts_with('f')
 }
--- a/crates/standins/src/fleet/stops.rs
+++ b/crates/standins/src/fleet/stops.rs
@@ -1,4 +1,5 @@
-//! Sends several signals to one router while clients go on over open connections until it is killed.
+//! Sends several signals to one router while clients continue to send over open connections, until it is
+//! killed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -12,36 +13,36 @@
 
 /// Number of clients that use open connections of a terminated router until it has ended.
 const STAYING_CLIENTS: usize = 12;
-/// Time that clients have to connect before the first signal's gap begins.
+/// Time that clients have to connect before the delay of the first signal begins.
 const CONNECT_TIME: Duration = Duration::from_millis(100);
 /// Distinguishes the clients' requests.
 static NEXT_STAYING_CLIENT: AtomicU64 = AtomicU64::new(1);
 
 impl PlanRun<'_> {
-    /// Lets clients connect, sends the signals, then kills the router at the earliest time that the protocol
+    /// Connects clients, sends the signals, then kills the router at the earliest time that the protocol
     /// document allows, whatever the router does meanwhile. Most routers have ended by themselves by then.
     pub(super) fn run_stop(&self, router: usize, signals: &[TimedSignal], begun: Instant, starter: &Starter) {
         let trouble = Trouble::Stop { router, orders: signals.to_vec(), span: 0 };
         let Some(process) = self.fleet.process_id(router) else { return };
         let mut due = begun + CONNECT_TIME;
         self.fleet.start_staying_clients(router, due);
-        let mut first_to_end = None;
+        let mut first_termination = None;
         for (gap, signal) in signals {
             due += Duration::from_millis(*gap);
             sleep_until(due);
-            self.record_late(&trouble, "gave an order", due);
+            self.record_late(&trouble, "sent a signal", due);
             let sent = Instant::now();
-            if *signal != OperatorSignal::Reload && first_to_end.is_none() {
-                first_to_end = Some(sent);
+            if *signal != OperatorSignal::Reload && first_termination.is_none() {
+                first_termination = Some(sent);
                 self.fleet.observations.lock().unwrap().terminated.push((router, sent));
             }
             self.fleet.routers[router].lock().unwrap().signal_if(process, signal_of(*signal));
         }
-        let Some(terminated_at) = first_to_end else { return };
+        let Some(terminated_at) = first_termination else { return };
         let due = terminated_at + Duration::from_millis(EARLIEST_KILL_MS);
         sleep_until(due);
         self.record_late(&trouble, "killed", due);
-        self.fleet.kill_while_ending(router);
+        self.fleet.kill_after_termination(router);
         starter.start_router(router);
     }
 }
@@ -69,9 +70,9 @@
         }
     }
 
-    fn kill_while_ending(&self, router: usize) {
+    fn kill_after_termination(&self, router: usize) {
         let mut process = self.routers[router].lock().unwrap();
-        self.observations.lock().unwrap().killed_while_ending.push((router, Instant::now()));
+        self.observations.lock().unwrap().killed_after_termination.push((router, Instant::now()));
         process.kill();
     }
 }
--- a/crates/standins/src/relays.rs
+++ b/crates/standins/src/relays.rs
@@ -1,5 +1,5 @@
-//! A network of relays on loopback. All connections and datagrams between the parties of a test pass a relay,
-//! whose conditions the test sets by pair, zone or region, in one direction or both.
+//! A network of relays on loopback. All connections and datagrams between the parties of a test pass through
+//! a relay. The test sets the relay's conditions by pair, zone or region, in one direction or both.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -21,17 +21,17 @@
 
 /// Maximum number of bytes forwarded at a time.
 const CHUNK_BYTES: usize = 8 * 1024;
-/// Interval at which the relays check that their thread runs; longer delays of the check are recorded as
-/// rests.
-const REST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-const MIN_RECORDED_REST: Duration = Duration::from_millis(50);
-/// Maximum number of recorded rests.
-const MAX_RECORDED_RESTS: usize = 200;
+/// Interval at which the relays check that their thread runs.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// A check that runs late by more than this is recorded as a stall of the relays' thread.
+const MIN_RECORDED_STALL: Duration = Duration::from_millis(50);
+/// Maximum number of recorded stalls.
+const MAX_RECORDED_STALLS: usize = 200;
 /// Number of the relays' own connections that fill a listener's queue during a cut.
 const FILLER_COUNT: usize = 4;
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A set of endpoints. The names of the variants are part of the printed fault schedules.
+/// A set of endpoints. Tests store fault schedules as printed by `Debug`, so the names of the variants stay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointSet {
     All,
@@ -50,7 +50,8 @@
     }
 }
 
-/// Conditions for the traffic in one direction. The names are part of the printed fault schedules.
+/// Network conditions for the traffic in one direction. Tests store fault schedules as printed by `Debug`, so
+/// the names of the type and its fields stay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Way {
     /// Nothing passes and no error is reported: bytes wait for the end of the cut, datagrams are lost,
@@ -58,8 +59,9 @@
     pub cut: bool,
     /// Minimum and maximum delay in milliseconds, drawn uniformly; bytes keep their order, datagrams don't.
     pub delay: (u64, u64),
-    /// Probabilities of loss and of duplication per datagram, from 0 to 1.
+    /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
+    /// Probability that a datagram is delivered twice, from 0 to 1.
     pub twice: f64,
     /// Bandwidth for bytes of connections.
     pub bytes_per_s: Option<u64>,
@@ -69,8 +71,8 @@
     pub const CUT: Way = Way { cut: true, delay: (0, 0), loss: 0.0, twice: 0.0, bytes_per_s: None };
 }
 
-/// A period in which the relays' thread did not run, so that nothing was forwarded. The name is part of a
-/// printed verdict.
+/// A stall of the relays' thread: a period in which it did not run, so that nothing was forwarded. The name
+/// is part of a printed verdict, as the report of a violated rule shows the stalls by `Debug`.
 #[derive(Clone, Copy, Debug)]
 pub struct Rest {
     pub from: Instant,
@@ -89,11 +91,12 @@
     listener: Arc<Async<TcpListener>>,
     /// The address to which new connections are forwarded.
     target: Arc<Mutex<SocketAddr>>,
-    /// Whether the relay accepts connections. It stops soon after a cut begins.
+    /// Whether the accept loop accepts connections. The loop clears this soon after a cut begins.
     accepts: Arc<AtomicBool>,
-    /// Whether it refuses connections for good.
+    /// Whether the relay refuses new connections for good.
     refuses: Arc<AtomicBool>,
-    /// Own connections that keep others from being established; empty when there is no cut.
+    /// The relay's own connections to its listener, which fill the listener's queue during a cut, so that no
+    /// others are established. Empty when there is no cut.
     fillers: Vec<Socket>,
 }
 
@@ -119,23 +122,26 @@
 
 struct State {
     locations: BTreeMap<String, Location>,
-    /// The conditions in force. The latest matching entry applies.
-    ways: Vec<(EndpointSet, EndpointSet, Way)>,
+    /// The conditions in force: source, destination and conditions. The latest matching entry applies.
+    conditions: Vec<(EndpointSet, EndpointSet, Way)>,
     /// Whether any condition was ever set.
-    ever_had_ways: bool,
+    ever_had_conditions: bool,
     rng: Pcg32,
     connection_relays: Vec<ConnectionRelay>,
-    rests: Vec<Rest>,
-    /// Ports of the listener and of an own connection. An entry is removed when its connection is accepted; a
-    /// few for each cut remain.
+    stalls: Vec<Rest>,
+    /// Ports of the listener and of the relay's end of each filler connection. An entry is removed when its
+    /// connection is accepted; a few for each cut remain, as not every filler is accepted.
     filler_ports: BTreeSet<(u16, u16)>,
-    /// Open connections with both parties and their reset; an entry is removed when its connection ends.
+    /// Open connections by number: the connecting party, the accepting party and the request to reset the
+    /// connection. An entry is removed when its connection ends.
     connections: BTreeMap<u64, (String, String, Arc<ResetRequest>)>,
-    count: u64,
-    /// By party: the public socket and the party's own address.
+    /// The number of the latest connection.
+    last_connection_number: u64,
+    /// By party: the public socket, and the address at which the party receives.
     datagram_relays: BTreeMap<String, (Arc<Async<UdpSocket>>, SocketAddr)>,
 }
 
+/// A request to reset a connection, which the task that relays the connection waits for.
 #[derive(Default)]
 struct ResetRequest {
     requested: AtomicBool,
@@ -158,22 +164,22 @@
     pub fn new(seed: u64) -> Self {
         let state = State {
             locations: BTreeMap::new(),
-            ways: Vec::new(),
-            ever_had_ways: false,
+            conditions: Vec::new(),
+            ever_had_conditions: false,
             rng: Pcg32::seed_from_u64(seed),
             connection_relays: Vec::new(),
-            rests: Vec::new(),
+            stalls: Vec::new(),
             filler_ports: BTreeSet::new(),
             connections: BTreeMap::new(),
-            count: 0,
+            last_connection_number: 0,
             datagram_relays: BTreeMap::new(),
         };
         let executor = Arc::new(Executor::new());
-        let (shutdown, ended) = async_channel::bounded::<()>(1);
-        let runs = executor.clone();
-        thread::spawn(move || async_io::block_on(runs.run(ended.recv())));
+        let (shutdown, shutdown_requested) = async_channel::bounded::<()>(1);
+        let thread_executor = executor.clone();
+        thread::spawn(move || async_io::block_on(thread_executor.run(shutdown_requested.recv())));
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Event::new() });
-        executor.spawn(watch_rests(shared.clone())).detach();
+        executor.spawn(record_stalls(shared.clone())).detach();
         Self { shared, executor, _shutdown: shutdown }
     }
 
@@ -236,8 +242,9 @@
         address
     }
 
-    /// Returns the public address of a party that receives datagrams at `own`. Its own datagrams also reach
-    /// the others from that address, so that address validation holds.
+    /// Returns the public address of a party that receives datagrams at `own`. The datagrams that it sends
+    /// also reach the others from that address, so that the receivers' validation of the sender's address
+    /// succeeds.
     pub fn datagram_relay_address(&self, name: &str, own: SocketAddr) -> SocketAddr {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0)).expect("an address");
         let address = socket.get_ref().local_addr().expect("an address");
@@ -262,27 +269,27 @@
         address
     }
 
-    /// Sets conditions for the traffic between endpoints. All of them begin at once; the latest matching one
-    /// applies.
-    pub fn set_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
+    /// Sets conditions for the traffic between endpoints. All of them take effect at once; the latest
+    /// matching one applies.
+    pub fn set_conditions(&self, conditions: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut state = self.shared.state.lock().unwrap();
-        state.ways.extend(ways);
-        state.ever_had_ways = true;
+        state.conditions.extend(conditions);
+        state.ever_had_conditions = true;
         drop(state);
         self.shared.update_listeners();
     }
 
     /// Whether any condition was ever set, so that bytes may have arrived later than they were sent.
-    pub fn ever_had_ways(&self) -> bool {
-        self.shared.state.lock().unwrap().ever_had_ways
+    pub fn ever_had_conditions(&self) -> bool {
+        self.shared.state.lock().unwrap().ever_had_conditions
     }
 
     /// Removes conditions that were set earlier.
-    pub fn remove_ways(&self, ways: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
+    pub fn remove_conditions(&self, conditions: impl IntoIterator<Item = (EndpointSet, EndpointSet, Way)>) {
         let mut state = self.shared.state.lock().unwrap();
-        for way in ways {
-            if let Some(index) = state.ways.iter().rposition(|set| *set == way) {
-                state.ways.remove(index);
+        for removed in conditions {
+            if let Some(index) = state.conditions.iter().rposition(|set| *set == removed) {
+                state.conditions.remove(index);
             }
         }
         drop(state);
@@ -290,8 +297,8 @@
     }
 
     /// Removes all conditions.
-    pub fn heal(&self) {
-        self.shared.state.lock().unwrap().ways.clear();
+    pub fn remove_all_conditions(&self) {
+        self.shared.state.lock().unwrap().conditions.clear();
         self.shared.update_listeners();
     }
 
@@ -320,10 +327,10 @@
         self.executor.spawn(async move { thread::sleep(span) }).detach();
     }
 
-    /// The periods in which the relays' thread did not run, as on a busy machine. Traffic of such a period
+    /// The recorded stalls of the relays' thread, such as those on a busy machine. Traffic during a stall
     /// arrived later than it was sent.
-    pub fn rests(&self) -> Vec<Rest> {
-        self.shared.state.lock().unwrap().rests.clone()
+    pub fn stalls(&self) -> Vec<Rest> {
+        self.shared.state.lock().unwrap().stalls.clone()
     }
 
     /// Resets the open connections from one set of endpoints to another. Returns their number.
@@ -341,9 +348,10 @@
 }
 
 impl State {
-    fn is_in(&self, name: &str, side: &EndpointSet) -> bool {
+    /// Whether the set of endpoints contains the party of this name.
+    fn is_in(&self, name: &str, endpoints: &EndpointSet) -> bool {
         let location = self.locations.get(name);
-        match side {
+        match endpoints {
             EndpointSet::All => true,
             EndpointSet::Party(party) => party == name,
             EndpointSet::Zone(zone) => location.is_some_and(|location| location.zone == *zone),
@@ -351,22 +359,22 @@
         }
     }
 
-    fn way(&self, from: &str, to: &str) -> Way {
-        let fits = |(a, b, _): &&(EndpointSet, EndpointSet, Way)| self.is_in(from, a) && self.is_in(to, b);
-        self.ways.iter().rev().find(fits).map(|(.., way)| *way).unwrap_or_default()
+    fn conditions_between(&self, from: &str, to: &str) -> Way {
+        let matches = |(a, b, _): &&(EndpointSet, EndpointSet, Way)| self.is_in(from, a) && self.is_in(to, b);
+        self.conditions.iter().rev().find(matches).map(|(.., way)| *way).unwrap_or_default()
     }
 
-    fn delay(&mut self, way: &Way) -> Duration {
-        let (min_delay, max_delay) = way.delay;
+    fn draw_delay(&mut self, conditions: &Way) -> Duration {
+        let (min_delay, max_delay) = conditions.delay;
         let drawn = min_delay as f64 + max_delay.saturating_sub(min_delay) as f64 * self.rng.random::<f64>();
         Duration::from_secs_f64(drawn / 1e3)
     }
 
     fn is_cut(&self, from: &str, to: &str) -> bool {
-        self.way(from, to).cut || self.way(to, from).cut
+        self.conditions_between(from, to).cut || self.conditions_between(to, from).cut
     }
 
-    /// Whether a connection is one of the relays' own. Those still queued when a cut ends are accepted then.
+    /// Whether a connection is a filler. Fillers that are still queued when a cut ends are accepted then.
     fn is_filler(&mut self, at: SocketAddr, peer: SocketAddr) -> bool {
         self.filler_ports.remove(&(at.port(), peer.port()))
     }
@@ -378,13 +386,13 @@
         let from =
             self.datagram_relays.iter().find(|(_, (_, own))| *own == sender).map(|(name, _)| name.clone());
         let Some(from) = from else { return Vec::new() };
-        let way = self.way(&from, to);
-        if way.cut || self.rng.random_bool(way.loss) {
+        let conditions = self.conditions_between(&from, to);
+        if conditions.cut || self.rng.random_bool(conditions.loss) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(self.rng.random_bool(way.twice));
+        let copies = 1 + usize::from(self.rng.random_bool(conditions.twice));
         let (socket, own) = (self.datagram_relays[&from].0.clone(), self.datagram_relays[to].1);
-        (0..copies).map(|_| (self.delay(&way), socket.clone(), own)).collect()
+        (0..copies).map(|_| (self.draw_delay(&conditions), socket.clone(), own)).collect()
     }
 }
 
@@ -398,7 +406,7 @@
         loop {
             let mut state = self.state.lock().unwrap();
             let cuts: Vec<bool> =
-                state.connection_relays.iter().map(|p| state.is_cut(&p.from, &p.to)).collect();
+                state.connection_relays.iter().map(|relay| state.is_cut(&relay.from, &relay.to)).collect();
             let still_accepts =
                 |(relay, cut): (&ConnectionRelay, &bool)| *cut && relay.accepts.load(Ordering::SeqCst);
             if state.connection_relays.iter().zip(&cuts).any(still_accepts) && Instant::now() < deadline {
@@ -421,18 +429,19 @@
         let mut has_waited = false;
         loop {
             let changed = self.changed.listen();
-            let (way, delay) = {
+            let (conditions, delay) = {
                 let mut state = self.state.lock().unwrap();
-                let way = state.way(from, to);
-                (way, state.delay(&way))
+                let conditions = state.conditions_between(from, to);
+                (conditions, state.draw_delay(&conditions))
             };
-            if way.cut {
+            if conditions.cut {
                 changed.await;
                 has_waited = false;
             } else if has_waited {
                 return;
             } else {
-                let transfer_time = way.bytes_per_s.map_or(0.0, |rate| bytes as f64 / rate.max(1) as f64);
+                let transfer_time =
+                    conditions.bytes_per_s.map_or(0.0, |rate| bytes as f64 / rate.max(1) as f64);
                 let wait = delay + Duration::from_secs_f64(transfer_time);
                 if !wait.is_zero() {
                     Timer::after(wait).await;
@@ -443,20 +452,21 @@
     }
 }
 
-async fn watch_rests(shared: Arc<Shared>) {
+/// Records the stalls of the relays' thread: periods in which a timer of this task ran late.
+async fn record_stalls(shared: Arc<Shared>) {
     loop {
-        let due = Instant::now() + REST_CHECK_INTERVAL;
+        let due = Instant::now() + STALL_CHECK_INTERVAL;
         Timer::at(due).await;
         let span = Instant::now().saturating_duration_since(due);
         let mut state = shared.state.lock().unwrap();
-        if span > MIN_RECORDED_REST && state.rests.len() < MAX_RECORDED_RESTS {
-            state.rests.push(Rest { from: due, span });
+        if span > MIN_RECORDED_STALL && state.stalls.len() < MAX_RECORDED_STALLS {
+            state.stalls.push(Rest { from: due, span });
         }
     }
 }
 
-/// Relays one connection from the time it is accepted. One that was requested before a cut and not accepted
-/// yet is reset.
+/// Relays one connection from the time it is accepted. Resets it if it was requested before a cut and is
+/// accepted during it.
 async fn relay_connection(
     shared: &Shared, from: &str, to: &str, client: Async<TcpStream>, target: SocketAddr,
 ) {
@@ -466,8 +476,8 @@
         if state.is_cut(from, to) {
             return reset_on_close(&client);
         }
-        state.count += 1;
-        let number = state.count;
+        state.last_connection_number += 1;
+        let number = state.last_connection_number;
         state.connections.insert(number, (from.to_owned(), to.to_owned(), reset_request.clone()));
         number
     };
@@ -488,8 +498,8 @@
     let relayed = async {
         let server = connected.await?;
         let _ = (client.get_ref().set_nodelay(true), server.get_ref().set_nodelay(true));
-        let outbound = pump(shared, from, to, &client, &server);
-        let inbound = pump(shared, to, from, &server, &client);
+        let outbound = forward_bytes(shared, from, to, &client, &server);
+        let inbound = forward_bytes(shared, to, from, &server, &client);
         let ended = futures_lite::future::try_zip(outbound, inbound).await;
         if ended.is_err() {
             reset_on_close(&server);
@@ -508,17 +518,19 @@
     let _ = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
 }
 
-async fn pump(
-    shared: &Shared, from: &str, to: &str, mut reads: &Async<TcpStream>, mut writes: &Async<TcpStream>,
+/// Forwards bytes from one connection to another until the first is closed for writing, then closes the other
+/// for writing.
+async fn forward_bytes(
+    shared: &Shared, from: &str, to: &str, mut source: &Async<TcpStream>, mut destination: &Async<TcpStream>,
 ) -> io::Result<()> {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let count = reads.read(&mut chunk).await?;
+        let count = source.read(&mut chunk).await?;
         shared.wait_to_pass(from, to, count).await;
         if count == 0 {
-            let _ = writes.get_ref().shutdown(std::net::Shutdown::Write);
+            let _ = destination.get_ref().shutdown(std::net::Shutdown::Write);
             return Ok(());
         }
-        writes.write_all(&chunk[..count]).await?;
+        destination.write_all(&chunk[..count]).await?;
     }
 }
--- a/crates/standins/src/troubles.rs
+++ b/crates/standins/src/troubles.rs
@@ -77,129 +77,63 @@
 /// A signal, and its delay after the previous one in milliseconds.
 pub type TimedSignal = (u64, OperatorSignal);
 
-/// One trouble. Routers and engines are given by number, spans in milliseconds.
+/// A fault that a plan applies to a fleet, mostly for a span of time. Routers and engines are given by
+/// number, spans in milliseconds. Tests store plans as printed by `Debug`, so the names of variants and
+/// fields stay.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
     /// Suspends the process.
-    Stand {
-        router: usize,
-        span: u64,
-    },
+    Stand { router: usize, span: u64 },
     /// Kills the process and starts it again.
-    Kill {
-        router: usize,
-        span: u64,
-    },
+    Kill { router: usize, span: u64 },
     /// Terminates the process and starts it again once it has ended.
-    Restart {
-        router: usize,
-    },
+    Restart { router: usize },
     /// Sends several reload signals in a row.
-    Reload {
-        router: usize,
-        times: usize,
-    },
+    Reload { router: usize, times: usize },
     /// Moves discovery to another address and reloads all routers.
     Move,
-    Discovery {
-        mode: DiscoveryMode,
-        span: u64,
-    },
-    Engine {
-        engine: usize,
-        mode: EngineMode,
-        span: u64,
-    },
+    /// Changes the behaviour of discovery.
+    Discovery { mode: DiscoveryMode, span: u64 },
+    /// Changes the behaviour of an engine.
+    Engine { engine: usize, mode: EngineMode, span: u64 },
     /// Engines drain and disappear; cold ones replace them.
-    Replace {
-        engines: Vec<usize>,
-    },
-    /// Makes system calls of the process fail.
-    Calls {
-        router: usize,
-        call: SystemCall,
-        every: u32,
-        error: Errno,
-        span: u64,
-    },
-    /// Limits reads and writes of the process to a few bytes.
-    Short {
-        router: usize,
-        most: u32,
-        span: u64,
-    },
-    /// Steps the wall clock of the process.
-    Clock {
-        router: usize,
-        step: i64,
-        span: u64,
-    },
+    Replace { engines: Vec<usize> },
+    /// Makes one in `every` such system calls of the process fail.
+    Calls { router: usize, call: SystemCall, every: u32, error: Errno, span: u64 },
+    /// Limits each read and write of the process to at most `most` bytes.
+    Short { router: usize, most: u32, span: u64 },
+    /// Steps the wall clock of the process by this many milliseconds.
+    Clock { router: usize, step: i64, span: u64 },
     /// Kills several routers at once and starts them again with a stepped wall clock.
-    Herd {
-        routers: Vec<usize>,
-        step: i64,
-        span: u64,
-    },
+    Herd { routers: Vec<usize>, step: i64, span: u64 },
     /// Cuts the network between a router and an engine.
-    Cut {
-        router: usize,
-        engine: usize,
-        span: u64,
-    },
+    Cut { router: usize, engine: usize, span: u64 },
     /// Resets all connections of a router to engines.
-    Reset {
-        router: usize,
-    },
-    Rude {
-        router: usize,
-        client: MisbehavingClient,
-        count: usize,
-    },
-    /// Sends several signals, at least one of which terminates the router, while clients go on over open
-    /// connections. The process is killed at the earliest time that the protocol document allows. The span
-    /// runs from the first terminating signal until then.
-    Stop {
-        router: usize,
-        orders: Vec<TimedSignal>,
-        span: u64,
-    },
+    Reset { router: usize },
+    /// Connects `count` misbehaving clients of one kind.
+    Rude { router: usize, client: MisbehavingClient, count: usize },
+    /// Sends several signals, at least one of which terminates the router, while clients continue to send over
+    /// open connections. The process is killed at the earliest time that the protocol document allows. The
+    /// span includes the delays of the signals up to the first terminating one.
+    Stop { router: usize, orders: Vec<TimedSignal>, span: u64 },
     /// Opens many connections that send nothing.
-    Crowd {
-        router: usize,
-        count: usize,
-        span: u64,
-    },
+    Crowd { router: usize, count: usize, span: u64 },
     /// Reads the log of the process slowly or not at all.
-    Log {
-        router: usize,
-        reading: LogReadMode,
-        span: u64,
-    },
+    Log { router: usize, reading: LogReadMode, span: u64 },
     /// Makes the configuration unreadable and reloads; later restores it and reloads again.
-    Config {
-        router: usize,
-        what: UnreadableConfig,
-        span: u64,
-    },
-    /// The engine drains, refuses connections and goes on working, while clients with loads there leave; its
-    /// open connections may be reset once. In the end it is announced as deleted and its process ends.
-    Drain {
-        engine: usize,
-        resets: bool,
-        span: u64,
-    },
+    Config { router: usize, what: UnreadableConfig, span: u64 },
+    /// The engine drains, refuses new connections and continues its work, while clients with loads there
+    /// leave; its open connections may be reset once. At the end of the span it is announced as deleted and
+    /// its process ends.
+    Drain { engine: usize, resets: bool, span: u64 },
     /// As [`Drain`](Self::Drain), but the port is taken over by another engine's process.
-    TakenPort {
-        engine: usize,
-        by: usize,
-        span: u64,
-    },
+    TakenPort { engine: usize, by: usize, span: u64 },
     /// Clients leave loads that run at any engine.
     LeaveLoads,
 }
 
 impl Trouble {
-    /// How long it lasts in milliseconds; 0 for what happens at once.
+    /// How long the trouble lasts in milliseconds; 0 if it happens at once.
     pub fn span(&self) -> u64 {
         match self {
             Self::Stand { span, .. }
@@ -222,8 +156,8 @@
         }
     }
 
-    /// How long it takes to begin.
-    pub fn beginning(&self) -> Duration {
+    /// How long the trouble takes to begin.
+    pub fn time_to_begin(&self) -> Duration {
         match self {
             Self::Drain { resets: true, .. } => LOAD_START_TIME + RESET_DELAY,
             Self::Drain { .. } | Self::TakenPort { .. } => LOAD_START_TIME,
@@ -231,8 +165,8 @@
         }
     }
 
-    /// The routers whose processes it suspends, kills or terminates.
-    pub fn processes(&self) -> Vec<usize> {
+    /// The routers whose processes the trouble suspends, kills or terminates.
+    pub fn affected_processes(&self) -> Vec<usize> {
         match self {
             Self::Stand { router, .. }
             | Self::Kill { router, .. }
@@ -243,8 +177,8 @@
         }
     }
 
-    /// The engines that it drains.
-    pub fn drains(&self) -> Vec<usize> {
+    /// The engines that the trouble drains.
+    pub fn drained_engines(&self) -> Vec<usize> {
         match self {
             Self::Replace { engines } => engines.clone(),
             Self::Drain { engine, .. } | Self::TakenPort { engine, .. } => vec![*engine],
@@ -252,8 +186,9 @@
         }
     }
 
-    /// A key for the state that it sets for its span, if overlapping troubles could set the same state.
-    pub fn setting(&self) -> Option<String> {
+    /// A key for the state that the trouble sets for its span. `None` if overlapping troubles can't set the
+    /// same state.
+    pub fn state_key(&self) -> Option<String> {
         match self {
             Self::Discovery { .. } => Some("discovery".to_owned()),
             Self::Engine { engine, .. } => Some(format!("engine {engine}")),
@@ -266,7 +201,7 @@
         }
     }
 
-    /// The name of its kind, by which skipped troubles are counted.
+    /// The name of the variant, by which skipped troubles are listed.
     pub fn kind(&self) -> String {
         let shown = format!("{self:?}");
         shown.split([' ', '{']).next().unwrap_or_default().to_owned()
@@ -275,24 +210,26 @@
 
 /// A terminated router has ended within this time, in milliseconds.
 const RESTART_SPAN_MS: u64 = 4_500;
-/// Earliest kill after a terminating signal by the protocol document, in milliseconds: the longest deadline,
-/// at most 3 s, and 0.7 s.
+/// Earliest kill after a terminating signal by the protocol document, in milliseconds: the sum of the longest
+/// deadline, which is at most 3 s, and 0.7 s.
 pub(crate) const EARLIEST_KILL_MS: u64 = 3_700;
-/// Loads have begun this long after their requests.
+/// Time after its request by which a load has begun.
 pub(crate) const LOAD_START_TIME: Duration = Duration::from_millis(100);
 /// Time between the close of an engine's port and the reset of its open connections.
 pub(crate) const RESET_DELAY: Duration = Duration::from_millis(60);
-/// Number of idle clients in a crowd: more than the fleets' routers have descriptors for (a third of 512).
+/// Range of the number of idle clients of a [`Trouble::Crowd`]: more than the fleets' routers have
+/// descriptors for (a third of 512).
 const CROWD_SIZES: std::ops::Range<usize> = 180..260;
 
-/// A trouble and its start, in milliseconds from the start of the plan.
+/// A trouble and its start `at`, in milliseconds from the start of the plan. The names are part of the
+/// printed plans.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timed {
     pub at: u64,
     pub trouble: Trouble,
 }
 
-/// All troubles of one run.
+/// All troubles of one run. The names are part of the printed plans.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub seed: u64,
@@ -314,8 +251,8 @@
                 let at = start + rng.random_range(0..GROUP_SPREAD_MS);
                 let router = group_routers[rng.random_range(0..group_routers.len())];
                 let trouble = draw_trouble(&mut rng, router, routers, engines);
-                // A trouble that hides or misjudges changes of the engine list is combined with such a
-                // change.
+                // A trouble that hides changes of the engine list, or makes routers misjudge them, is
+                // combined with such a change.
                 if matches!(trouble, Trouble::Discovery { .. } | Trouble::Herd { .. }) {
                     let replace = Trouble::Replace { engines: vec![rng.random_range(0..engines)] };
                     troubles.push(Timed { at: at + rng.random_range(0..GROUP_SPREAD_MS), trouble: replace });
@@ -331,7 +268,7 @@
         Self { seed, troubles }
     }
 
-    /// Removes one trouble after another, as long as the rest still fails.
+    /// Tries to remove each trouble, and keeps it only if the plan no longer fails without it.
     pub fn shrink(&self, mut fails: impl FnMut(&Self) -> bool) -> Self {
         let mut smallest = self.clone();
         for index in (0..smallest.troubles.len()).rev() {
@@ -390,8 +327,8 @@
         3 => Trouble::Reload { router, times: rng.random_range(2..12) },
         4 => Trouble::Move,
         5 => {
-            // Discovery answers late for longer than the grace, so that a change within it is always learnt
-            // from a late answer.
+            // Discovery answers late for longer than the drain grace, so that a router always learns of a
+            // change in that time from a late answer.
             match rng.random_range(0..4) {
                 0 => Trouble::Discovery { mode: DiscoveryMode::Silent, span },
                 1 => Trouble::Discovery { mode: DiscoveryMode::Cuts, span },
@@ -435,7 +372,7 @@
         15 | 16 => draw_stop(rng, router),
         17 => Trouble::Crowd { router, count: rng.random_range(CROWD_SIZES), span: span * 2 },
         18 => {
-            // The log stays unread for longer than callers wait, as no effect shows before.
+            // The log stays unread for longer than callers wait, as there is no visible effect before.
             if rng.random() {
                 Trouble::Log { router, reading: LogReadMode::NotAtAll, span: UNREAD_SPAN_MS }
             } else {
@@ -443,7 +380,7 @@
             }
         }
         19 => {
-            // The FIFO stays for longer than callers wait, as no effect shows before.
+            // The FIFO stays for longer than callers wait, as there is no visible effect before.
             if rng.random() {
                 Trouble::Config { router, what: UnreadableConfig::Fifo, span: UNREAD_SPAN_MS }
             } else {
@@ -472,10 +409,10 @@
 fn draw_stop(rng: &mut Pcg32, router: usize) -> Trouble {
     let signals = [OperatorSignal::Reload, OperatorSignal::Terminate, OperatorSignal::Interrupt];
     let mut orders = Vec::new();
-    let mut until_first_end = 0;
+    let mut until_first_termination = 0;
     for _ in 0..rng.random_range(0..=2) {
         let gap = rng.random_range(0..200);
-        until_first_end += gap;
+        until_first_termination += gap;
         orders.push((gap, OperatorSignal::Reload));
     }
     let gap = rng.random_range(0..200);
@@ -483,7 +420,7 @@
     for _ in 0..rng.random_range(0..=2) {
         orders.push((rng.random_range(0..900), signals[rng.random_range(0..signals.len())]));
     }
-    Trouble::Stop { router, orders, span: until_first_end + gap + EARLIEST_KILL_MS }
+    Trouble::Stop { router, orders, span: until_first_termination + gap + EARLIEST_KILL_MS }
 }
 
 /// Draws failures of the calls that establish connections.
--- a/crates/standins/tests/relays.rs
+++ b/crates/standins/tests/relays.rs
@@ -48,7 +48,7 @@
     let mut before_cut = TcpStream::connect(relay_address).unwrap();
     before_cut.write_all(b"1").unwrap();
     assert_eq!(receive_byte(&mut before_cut, TEST_TIMEOUT).unwrap(), b'1');
-    relays.set_ways([(EndpointSet::zone("x"), EndpointSet::zone("y"), Way::CUT)]);
+    relays.set_conditions([(EndpointSet::zone("x"), EndpointSet::zone("y"), Way::CUT)]);
     before_cut.write_all(b"2").unwrap();
     assert_eq!(receive_byte(&mut before_cut, SHORT_WAIT).unwrap_err().kind(), ErrorKind::WouldBlock);
     let during_cut = TcpStream::connect_timeout(&relay_address, SHORT_WAIT);
@@ -57,7 +57,7 @@
         ErrorKind::TimedOut,
         "no connection is established across a cut"
     );
-    relays.heal();
+    relays.remove_all_conditions();
     assert_eq!(receive_byte(&mut before_cut, TEST_TIMEOUT).unwrap(), b'2', "the held byte arrives");
     let mut after_heal = TcpStream::connect_timeout(&relay_address, TEST_TIMEOUT).unwrap();
     after_heal.write_all(b"3").unwrap();
@@ -70,10 +70,10 @@
     let mut stream = TcpStream::connect(relay_address).unwrap();
     stream.write_all(b"0").unwrap();
     assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'0');
-    relays.set_ways([(EndpointSet::party("b"), EndpointSet::party("a"), Way::CUT)]);
+    relays.set_conditions([(EndpointSet::party("b"), EndpointSet::party("a"), Way::CUT)]);
     stream.write_all(b"1").unwrap();
     assert!(receive_byte(&mut stream, SHORT_WAIT).is_err(), "the answer is held by the cut");
-    relays.heal();
+    relays.remove_all_conditions();
     assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'1', "the request was not held");
 }
 
@@ -98,7 +98,11 @@
 #[test]
 fn a_delayed_way_delays_bytes_and_keeps_their_order() {
     let (relays, relay_address) = start_echo_server_behind_relays();
-    relays.set_ways([(EndpointSet::All, EndpointSet::party("b"), Way { delay: (20, 60), ..Way::default() })]);
+    relays.set_conditions([(
+        EndpointSet::All,
+        EndpointSet::party("b"),
+        Way { delay: (20, 60), ..Way::default() },
+    )]);
     let mut stream = TcpStream::connect(relay_address).unwrap();
     let began = Instant::now();
     for byte in 0..8 {
@@ -127,7 +131,7 @@
     let mut bytes = [0; 16];
     sockets[0].send_to(b"1", relay_addresses[1]).unwrap();
     assert_eq!(sockets[1].recv_from(&mut bytes).unwrap(), (1, relay_addresses[0]));
-    relays.set_ways([(EndpointSet::zone("z0"), EndpointSet::zone("z1"), Way::CUT)]);
+    relays.set_conditions([(EndpointSet::zone("z0"), EndpointSet::zone("z1"), Way::CUT)]);
     sockets[0].send_to(b"2", relay_addresses[1]).unwrap();
     assert!(sockets[1].recv_from(&mut bytes).is_err(), "the datagram is lost across the cut");
     sockets[1].send_to(b"3", relay_addresses[0]).unwrap();
@@ -136,9 +140,9 @@
         relay_addresses[1],
         "the other direction still works"
     );
-    relays.heal();
+    relays.remove_all_conditions();
     assert!(sockets[1].recv_from(&mut bytes).is_err(), "a lost datagram is not delivered later");
-    relays.set_ways([(EndpointSet::All, EndpointSet::All, Way { twice: 1.0, ..Way::default() })]);
+    relays.set_conditions([(EndpointSet::All, EndpointSet::All, Way { twice: 1.0, ..Way::default() })]);
     sockets[0].send_to(b"4", relay_addresses[1]).unwrap();
     assert!((0..2).all(|_| sockets[1].recv_from(&mut bytes).is_ok()), "the datagram is delivered twice");
     let unknown_socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -173,8 +177,8 @@
     assert_eq!(receive_byte(&mut stream, TEST_TIMEOUT).unwrap(), b'2');
     assert!(sent.elapsed() >= blocked_span, "nothing passes during the pause");
     let deadline = Instant::now() + TEST_TIMEOUT;
-    while !relays.rests().iter().any(|rest| rest.span >= blocked_span / 2) {
-        assert!(Instant::now() < deadline, "{:?}", relays.rests());
+    while !relays.stalls().iter().any(|rest| rest.span >= blocked_span / 2) {
+        assert!(Instant::now() < deadline, "{:?}", relays.stalls());
         thread::sleep(Duration::from_millis(10));
     }
 }
